--- a/cmd/shallotctl/main_test.go
+++ b/cmd/shallotctl/main_test.go
@@ -163,8 +163,8 @@
 func TestPools(t *testing.T) {
 	state := router.State{
 		Host: "a", Zone: "north", Slot: 1, Config: 4,
-		Cells:   []router.CellState{{Zone: "north", Holder: "a", Token: 77, Held: true}},
-		Targets: []router.TargetState{{ID: "i-1", Zone: "north", Service: "work", State: router.Barred, Runs: 2, Room: router.Room{CPU: 8000}}},
+		Cells:   []router.CellState{{Zone: "north", Holder: "a", Token: 77, Reachable: true}},
+		Targets: []router.TargetState{{ID: "i-1", Zone: "north", Service: "work", State: router.Ejected, Runs: 2, Capacity: router.Resources{CPU: 8000}}},
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, inspector.Path, r.URL.Path)
--- a/cmd/shallotctl/pools.go
+++ b/cmd/shallotctl/pools.go
@@ -53,7 +53,7 @@
 	fmt.Fprintln(w, "HOST\tZONE\tSLOT\tCONFIG\tTARGETS READ\tREACHED\tOPEN JOBS\tWAITING\tRUNNING\tLEAVING")
 	for _, h := range report.Hosts {
 		if s := h.State; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%d\t%d\t%d\t%t\n", s.Host, s.Zone, s.Slot, s.Config, age(s.Age), reached(s), len(s.Peers), s.Open, s.Waiting, s.Running, s.Leaving)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%d\t%d\t%d\t%t\n", s.Host, s.Zone, s.Slot, s.Config, age(s.DirectoryAge), reached(s), len(s.Peers), s.Open, s.Waiting, s.Running, s.Leaving)
 		}
 	}
 	fmt.Fprintln(w, "\nHOST\tZONE\tHOLDER\tTOKEN\tHELD\tABSENT")
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, c := range h.State.Cells {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%v\n", h.State.Host, c.Zone, c.Holder, c.Token, c.Held, c.Absent.Round(time.Millisecond))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%v\n", h.State.Host, c.Zone, c.Holder, c.Token, c.Reachable, c.Absent.Round(time.Millisecond))
 		}
 	}
 	fmt.Fprintln(w, "\nHOLDER\tTARGET\tZONE\tSERVICE\tSTATE\tCPU IN USE\tOF\tMEMORY\tOF\tRUNS\tANSWERED\tLEFT OUT FOR")
@@ -72,7 +72,7 @@
 		}
 		for _, x := range h.State.Targets {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%v\n", h.State.Host, x.ID, x.Zone, x.Service, x.State,
-				x.Used.CPU, x.Room.CPU, x.Used.Memory, x.Room.Memory, x.Runs, age(x.Age), x.Barred.Round(time.Millisecond))
+				x.Used.CPU, x.Capacity.CPU, x.Used.Memory, x.Capacity.Memory, x.Runs, age(x.Age), x.EjectedFor.Round(time.Millisecond))
 		}
 	}
 	fmt.Fprintln(w)
@@ -86,7 +86,7 @@
 func reached(s *router.State) int {
 	n := 0
 	for _, p := range s.Peers {
-		if p.Reached {
+		if p.Reachable {
 			n++
 		}
 	}
--- a/internal/assembler/node.go
+++ b/internal/assembler/node.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	v := n.Settings
-	self := router.Member{Name: v.Name, Zone: v.Zone, Address: v.Links, Life: n.Clock.Now().UnixNano(), Power: int(v.Power * milli), Link: int(v.Link * kilo)}
+	self := router.Member{Name: v.Name, Zone: v.Zone, Address: v.Links, Incarnation: n.Clock.Now().UnixNano(), CPUShare: int(v.Power * milli), LinkRate: int(v.Link * kilo)}
 	d := &driver.Driver{
 		Router: &router.Router{Self: self, Bounds: v.Bounds, Seeds: v.Seeds},
 		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, v.Lines),
@@ -87,7 +87,7 @@
 	d.Links = links
 	d.Targets = &platform.Targets{
 		Clock: n.Clock, Log: n.Log, Sink: d, Dial: v.Dial, Unacked: v.Unacked, Connections: v.Connections, Observe: n.Meter.Order,
-		Limiter: &limiter.Limiter{Clock: n.Clock, AtOnce: v.Bounds.Orders, Span: v.Bounds.OrderSpan},
+		Limiter: &limiter.Limiter{Clock: n.Clock, AtOnce: v.Bounds.MaxOrders, Span: v.Bounds.OrderWindow},
 	}
 	registry := n.registrar(self, d)
 	d.Store = registry
@@ -111,7 +111,7 @@
 	v := n.Settings
 	return &registrar.Registrar{
 		Self: self, Sink: sink, Clock: n.Clock, Log: n.Log,
-		Random: rand.New(rand.NewPCG(uint64(self.Life), xxhash.Sum64String(self.Address))),
+		Random: rand.New(rand.NewPCG(uint64(self.Incarnation), xxhash.Sum64String(self.Address))),
 		Table: &platform.Store{
 			Address: v.Store, Log: n.Log, HTTP: platform.NewClient(v.Dial, v.Unacked),
 			Observe: func(call, result string) { n.Meter.StoreCalls.WithLabelValues(call, result).Inc() },
@@ -166,7 +166,7 @@
 		return err
 	case <-n.draining:
 	}
-	n.Log.Info("draining", "bound", n.Settings.Bounds.Grace.String())
+	n.Log.Info("draining", "bound", n.Settings.Bounds.ShutdownTimeout.String())
 	d.Put(router.Drain{})
 	select {
 	case <-d.Done():
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -27,7 +27,7 @@
 // Links carry messages to other hosts. No method blocks.
 type Links interface {
 	Dial(address string)
-	Hangup(address string)
+	CloseLink(address string)
 	Redial(address string)
 	Send(address string, m router.Message)
 }
@@ -37,18 +37,18 @@
 	Start(router.Start)
 	Stop(router.Stop)
 	Renew(router.Renew)
-	Warm(router.Warm)
-	Retire(router.Retire)
+	WarmUp(router.WarmUp)
+	CloseIdle(router.CloseIdle)
 }
 
 // Store reaches the platform's store. No method blocks.
 type Store interface {
-	// Stake is answered by router.Claimed.
-	Stake(router.Stake)
-	// Read is answered by router.Locate or router.Unread.
-	Read()
-	Keep(router.Keep)
-	Expel(router.Member)
+	// WriteClaims is answered by router.ClaimsWritten.
+	WriteClaims(router.WriteClaims)
+	// ReadDirectory is answered by router.DirectoryRead or router.DirectoryReadFailed.
+	ReadDirectory()
+	SaveLearnedState(router.SaveLearnedState)
+	RemoveMember(router.Member)
 }
 
 // Driver joins a router with its transports. Its exported fields are set before
@@ -102,7 +102,7 @@
 func (d *Driver) View() *router.View { return d.view.Load() }
 
 func (d *Driver) loop(ctx context.Context) {
-	ticker := d.Clock.NewTicker(d.Router.Bounds.Tick)
+	ticker := d.Clock.NewTicker(d.Router.Bounds.TickInterval)
 	defer ticker.Stop()
 	for {
 		var e router.Event
@@ -150,32 +150,32 @@
 		d.answer(e.Request, e)
 	case router.Cancelled:
 		d.answer(e.Request, e)
-	case router.Pending:
+	case router.OpenJobs:
 		d.answer(e.Request, e)
 	case router.State:
 		d.answer(e.Request, e)
-	case router.Send, router.Dial, router.Hangup, router.Redial:
+	case router.Send, router.Dial, router.CloseLink, router.Redial:
 		d.link(e)
-	case router.Start, router.Stop, router.Renew, router.Warm, router.Retire:
+	case router.Start, router.Stop, router.Renew, router.WarmUp, router.CloseIdle:
 		d.order(e)
-	case router.Stake:
-		d.Store.Stake(e)
-	case router.Read:
-		d.Store.Read()
-	case router.Keep:
-		d.Store.Keep(e)
-	case router.Expel:
-		d.Store.Expel(e.Member)
-	case router.Decide:
+	case router.WriteClaims:
+		d.Store.WriteClaims(e)
+	case router.ReadDirectory:
+		d.Store.ReadDirectory()
+	case router.SaveLearnedState:
+		d.Store.SaveLearnedState(e)
+	case router.RemoveMember:
+		d.Store.RemoveMember(e.Member)
+	case router.Decision:
 		d.Meter.Decisions.WithLabelValues(e.Action).Inc()
 		if e.Routine {
 			d.Throttle.Routine(now, e.Action, pairs(e)...)
 		} else {
 			d.Throttle.Info(now, e.Action, pairs(e)...)
 		}
-	case router.Measure:
-		d.Meter.Stages.WithLabelValues(e.Route, string(e.Stage)).Observe(e.Took.Seconds())
-	case router.Violate:
+	case router.StageDuration:
+		d.Meter.Stages.WithLabelValues(e.Route, string(e.Stage)).Observe(e.Duration.Seconds())
+	case router.Violation:
 		d.Meter.Violations.WithLabelValues(e.Invariant).Inc()
 		d.Log.Error(nil, "invariant broken", "invariant", e.Invariant, "detail", e.Detail)
 	}
@@ -190,8 +190,8 @@
 		for _, address := range e.Addresses {
 			d.Links.Dial(address)
 		}
-	case router.Hangup:
-		d.Links.Hangup(e.Address)
+	case router.CloseLink:
+		d.Links.CloseLink(e.Address)
 	case router.Redial:
 		d.Links.Redial(e.Address)
 	}
@@ -206,15 +206,15 @@
 		d.Targets.Stop(e)
 	case router.Renew:
 		d.Targets.Renew(e)
-	case router.Warm:
-		d.Targets.Warm(e)
-	case router.Retire:
-		d.Targets.Retire(e)
+	case router.WarmUp:
+		d.Targets.WarmUp(e)
+	case router.CloseIdle:
+		d.Targets.CloseIdle(e)
 	}
 }
 
 // pairs returns the keys and values of a decision's log line.
-func pairs(e router.Decide) []any {
+func pairs(e router.Decision) []any {
 	list := make([]any, 0, 6+len(e.Pairs))
 	if e.Job != "" {
 		list = append(list, "job", e.Job)
@@ -267,7 +267,7 @@
 		return router.Verdict{ID: job.ID, Outcome: router.Unknown, Reason: router.Stopping}, nil
 	case <-ctx.Done():
 		d.forget(request)
-		d.Put(router.Abandon{Request: request})
+		d.Put(router.ClientGone{Request: request})
 		return router.Verdict{}, ctx.Err()
 	}
 }
@@ -287,16 +287,16 @@
 
 // Pending returns the open jobs of this host that have not begun, by route, and
 // those that are open at all, by job.
-func (d *Driver) Pending(ctx context.Context) router.Pending {
-	request, waiter := d.ask(func(request uint64) router.Event { return router.Count{Request: request} })
+func (d *Driver) Pending(ctx context.Context) router.OpenJobs {
+	request, waiter := d.ask(func(request uint64) router.Event { return router.CountOpen{Request: request} })
 	select {
 	case e := <-waiter:
-		return e.(router.Pending)
+		return e.(router.OpenJobs)
 	case <-d.done:
 	case <-ctx.Done():
 		d.forget(request)
 	}
-	return router.Pending{}
+	return router.OpenJobs{}
 }
 
 // Inspect returns what the router believes. The error tells that it has halted or that
--- a/internal/inspector/finding.go
+++ b/internal/inspector/finding.go
@@ -45,22 +45,22 @@
 		note("has no configuration")
 	}
 	for _, p := range s.Peers {
-		if !p.Reached && !p.Leaving {
+		if !p.Reachable && !p.Leaving {
 			note("does not reach %s", p.Host)
 		}
 	}
 	holds := false
 	for _, c := range s.Cells {
-		holds = holds || c.Holder == s.Host && c.Held
-		if !c.Held {
+		holds = holds || c.Holder == s.Host && c.Reachable
+		if !c.Reachable {
 			note("has had no holder for zone %s for %v", c.Zone, c.Absent.Round(time.Millisecond))
 		}
 	}
-	if holds && s.Age < 0 {
+	if holds && s.DirectoryAge < 0 {
 		note("holds targets by a list of another host and has never read it; look at the store")
 	}
-	if holds && s.Age > staleAfter {
-		note("holds targets by a list that it has not read for %v; look at the store", s.Age.Round(time.Millisecond))
+	if holds && s.DirectoryAge > staleAfter {
+		note("holds targets by a list that it has not read for %v; look at the store", s.DirectoryAge.Round(time.Millisecond))
 	}
 	return list
 }
@@ -69,7 +69,7 @@
 func holders(s *router.State) map[string]string {
 	list := make(map[string]string)
 	for _, c := range s.Cells {
-		if c.Held {
+		if c.Reachable {
 			list["of zone "+c.Zone] = c.Holder
 		}
 	}
--- a/internal/inspector/finding_test.go
+++ b/internal/inspector/finding_test.go
@@ -13,9 +13,9 @@
 func sound() []Sight {
 	state := func(name, peer string) *router.State {
 		return &router.State{
-			Host: name, Zone: "north", Slot: 1, Config: 4, Age: 300 * time.Millisecond,
-			Peers: []router.PeerState{{Host: peer, Reached: true}},
-			Cells: []router.CellState{{Zone: "north", Holder: "a", Held: true}},
+			Host: name, Zone: "north", Slot: 1, Config: 4, DirectoryAge: 300 * time.Millisecond,
+			Peers: []router.PeerState{{Host: peer, Reachable: true}},
+			Cells: []router.CellState{{Zone: "north", Holder: "a", Reachable: true}},
 		}
 	}
 	return []Sight{{Address: "10.0.0.1:1", State: state("a", "b")}, {Address: "10.0.0.2:1", State: state("b", "a")}}
@@ -30,7 +30,7 @@
 		{func([]Sight) {}, nil},
 		{func(list []Sight) { list[1] = Sight{Address: "10.0.0.2:1", Problem: "refused"} }, []string{"10.0.0.2:1 does not answer: refused"}},
 		{func(list []Sight) { list[1].State.Slot = 0 }, []string{"b is not registered in the store yet"}},
-		{func(list []Sight) { list[0].State.Peers[0].Reached = false }, []string{"a does not reach b"}},
+		{func(list []Sight) { list[0].State.Peers[0].Reachable = false }, []string{"a does not reach b"}},
 		{func(list []Sight) {
 			list[0].State.Peers[0] = router.PeerState{Host: "b", Leaving: true}
 		}, nil},
@@ -49,12 +49,12 @@
 			[]string{"b has had no holder for zone north for 900ms"},
 		},
 		{
-			func(list []Sight) { list[0].State.Age = 3 * time.Second },
+			func(list []Sight) { list[0].State.DirectoryAge = 3 * time.Second },
 			[]string{"a holds targets by a list that it has not read for 3s; look at the store"},
 		},
-		{func(list []Sight) { list[1].State.Age = 3 * time.Second }, nil},
+		{func(list []Sight) { list[1].State.DirectoryAge = 3 * time.Second }, nil},
 		{
-			func(list []Sight) { list[0].State.Age = -1 },
+			func(list []Sight) { list[0].State.DirectoryAge = -1 },
 			[]string{"a holds targets by a list of another host and has never read it; look at the store"},
 		},
 	} {
--- a/internal/linker/link.go
+++ b/internal/linker/link.go
@@ -86,7 +86,7 @@
 	for ctx.Err() == nil {
 		if err := k.connect(ctx); err != nil && ctx.Err() == nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				k.linker.Sink.Put(router.Severed{Address: k.address})
+				k.linker.Sink.Put(router.PeerExited{Address: k.address})
 			}
 			k.linker.Log.V(1).Info("link failed", "to", k.address, "error", err.Error())
 		}
@@ -117,7 +117,7 @@
 	reading := c.CloseRead(ctx)
 	k.attach(c)
 	defer k.attach(nil)
-	k.linker.Sink.Put(router.Linked{Address: k.address})
+	k.linker.Sink.Put(router.LinkOpened{Address: k.address})
 	for {
 		select {
 		case <-reading.Done():
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -90,8 +90,8 @@
 	go k.run(ctx)
 }
 
-// Hangup ends the link to the address.
-func (l *Linker) Hangup(address string) {
+// CloseLink ends the link to the address.
+func (l *Linker) CloseLink(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if k := l.links[address]; k != nil {
--- a/internal/linker/linker_test.go
+++ b/internal/linker/linker_test.go
@@ -85,7 +85,7 @@
 	a, outbox := hostOn(t, listen(t, "127.0.0.1:0"))
 	b, inbox := hostOn(t, listen(t, "127.0.0.1:0"))
 	a.Dial(b.Self)
-	require.Eventually(t, func() bool { return count[router.Linked](outbox) == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count[router.LinkOpened](outbox) == 1 }, time.Second, time.Millisecond)
 	sent := 0
 	require.Eventually(t, func() bool {
 		sent++
@@ -120,7 +120,7 @@
 	b, _ := hostOn(t, listen(t, address))
 	b.Dial(a.Self)
 	began := time.Now()
-	require.Eventually(t, func() bool { return count[router.Linked](inbox) == 1 }, 2*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count[router.LinkOpened](inbox) == 1 }, 2*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(began), dialTimeout/2)
 }
 
@@ -130,7 +130,7 @@
 	gone := listen(t, "127.0.0.1:0")
 	require.NoError(t, gone.Close())
 	a.Dial(gone.Addr().String())
-	require.Eventually(t, func() bool { return count[router.Severed](inbox) > 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count[router.PeerExited](inbox) > 0 }, time.Second, time.Millisecond)
 }
 
 // awaitConnecting waits until a connection to a port of the loopback is being made: the
@@ -173,6 +173,6 @@
 	require.NoError(t, file.Close())
 	began := time.Now()
 	hostOn(t, healed)
-	require.Eventually(t, func() bool { return count[router.Linked](inbox) == 1 }, 2*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count[router.LinkOpened](inbox) == 1 }, 2*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(began), 2*connectTimeout)
 }
--- a/internal/loader/node.go
+++ b/internal/loader/node.go
@@ -82,8 +82,8 @@
 	for key, address := range map[string]string{"clients": v.Clients, "probe": v.Probe, "links": v.Links, "metrics": v.Metrics} {
 		checkAddress(doc, "node", key, address)
 	}
-	v.Bounds.Grace = s.Duration("grace", v.Bounds.Grace, time.Second, time.Hour)
-	v.Bounds.Linger = s.Duration("linger", v.Bounds.Linger, 0, time.Hour)
+	v.Bounds.ShutdownTimeout = s.Duration("grace", v.Bounds.ShutdownTimeout, time.Second, time.Hour)
+	v.Bounds.ShutdownLinger = s.Duration("linger", v.Bounds.ShutdownLinger, 0, time.Hour)
 }
 
 func (v *Node) store(doc *parser.Document) {
@@ -91,7 +91,7 @@
 	defer s.Close()
 	v.Store = s.Need("address", "write the address of the platform's store")
 	checkAddress(doc, "store", "address", v.Store)
-	v.Bounds.Directory = s.Duration("directory", v.Bounds.Directory, 10*time.Millisecond, time.Minute)
+	v.Bounds.DirectoryInterval = s.Duration("directory", v.Bounds.DirectoryInterval, 10*time.Millisecond, time.Minute)
 }
 
 func (v *Node) targets(doc *parser.Document) {
@@ -101,11 +101,11 @@
 	v.Dial = s.Duration("dial", 150*time.Millisecond, time.Millisecond, time.Minute)
 	v.Unacked = s.Duration("unacked", 500*time.Millisecond, 10*time.Millisecond, time.Minute)
 	v.Connections = s.Int("connections", 16, 2, 10_000)
-	b.Lease = s.Duration("lease", b.Lease, 100*time.Millisecond, time.Minute)
-	b.Stop = s.Duration("stop", b.Stop, time.Millisecond, time.Minute)
-	b.Split = s.Int("split", b.Split, 1, 1_000_000)
-	if b.Wait >= b.Lease-2*b.Order {
-		b.Wait = (b.Lease - 2*b.Order) / 2
+	b.LeaseDuration = s.Duration("lease", b.LeaseDuration, 100*time.Millisecond, time.Minute)
+	b.StopDuration = s.Duration("stop", b.StopDuration, time.Millisecond, time.Minute)
+	b.MaxSharedTargets = s.Int("split", b.MaxSharedTargets, 1, 1_000_000)
+	if b.RenewWait >= b.LeaseDuration-2*b.RenewTimeout {
+		b.RenewWait = (b.LeaseDuration - 2*b.RenewTimeout) / 2
 	}
 }
 
@@ -117,16 +117,16 @@
 	for _, address := range v.Seeds {
 		checkAddress(doc, "members", "seeds", address)
 	}
-	b.Beat = s.Duration("beat", b.Beat, 10*time.Millisecond, time.Minute)
-	b.Silence = s.Duration("silence", b.Silence, 20*time.Millisecond, time.Minute)
-	b.Trust = s.Duration("trust", b.Trust, 20*time.Millisecond, time.Minute)
-	if b.Silence < 3*b.Beat {
+	b.HeartbeatInterval = s.Duration("beat", b.HeartbeatInterval, 10*time.Millisecond, time.Minute)
+	b.PeerTimeout = s.Duration("silence", b.PeerTimeout, 20*time.Millisecond, time.Minute)
+	b.OriginTimeout = s.Duration("trust", b.OriginTimeout, 20*time.Millisecond, time.Minute)
+	if b.PeerTimeout < 3*b.HeartbeatInterval {
 		doc.Fault("members", "silence", "shorter than three heartbeats", "raise silence or lower beat")
 	}
-	if b.Trust < b.Silence {
+	if b.OriginTimeout < b.PeerTimeout {
 		doc.Fault("members", "trust", "shorter than silence", "raise trust or lower silence")
 	}
-	b.Quarantine = b.Trust + b.Lease + 3*b.Stop
+	b.QuarantineDuration = b.OriginTimeout + b.LeaseDuration + 3*b.StopDuration
 }
 
 func (v *Node) log(doc *parser.Document) {
--- a/internal/loader/node_test.go
+++ b/internal/loader/node_test.go
@@ -39,7 +39,7 @@
 	assert.Equal(t, "1", told["node.power"].Value)
 	assert.Equal(t, "150", told["targets.split"].Value)
 	assert.Len(t, v.Settings, len(told), "each key once")
-	assert.Equal(t, 2*time.Second, v.Bounds.Lease)
+	assert.Equal(t, 2*time.Second, v.Bounds.LeaseDuration)
 }
 
 // TestNodeFaults: all faults of a host's settings are told at once, by key.
--- a/internal/meter/host.go
+++ b/internal/meter/host.go
@@ -85,10 +85,10 @@
 	h.Waiting.Set(float64(v.Waiting))
 	h.Running.Set(float64(v.Running))
 	h.Open.Set(float64(v.Open))
-	h.Held.Set(float64(v.Held))
+	h.Held.Set(float64(v.HeldCells))
 	h.Members.Set(float64(v.Members))
-	h.Directory.Set(v.Age.Seconds())
-	h.Margin.Set(v.Margin.Seconds())
+	h.Directory.Set(v.DirectoryAge.Seconds())
+	h.Margin.Set(v.LeaseMargin.Seconds())
 	if v.Config != nil {
 		h.Version.Set(float64(v.Config.Version))
 	}
--- a/internal/modeler/chaos_test.go
+++ b/internal/modeler/chaos_test.go
@@ -54,13 +54,13 @@
 		w.Lost = 0.05
 	}
 	if random.IntN(4) == 0 {
-		w.Bounds.Split = 6 // a holder a zone
+		w.Bounds.MaxSharedTargets = 6 // a holder a zone
 	}
 	if seed%7 == 3 {
 		w.Mute = 0.05
 	}
 	if seed%3 == 1 {
-		w.Bounds.Mesh = 1 // only the holder and its successors hear of all others
+		w.Bounds.FullMeshHosts = 1 // only the holder and its successors hear of all others
 		w.Layout.Hosts += 2
 	}
 	for range 2 + random.IntN(4) {
@@ -83,7 +83,7 @@
 		group.Go(func() {
 			w := randomWorld(seed)
 			w.Run()
-			if !assert.Empty(t, w.Broken, "seed %d, %+v, lost %v, mute %v, split %d, mesh %d, hosts %d", seed, w.Faults, w.Lost, w.Mute, w.Bounds.Split, w.Bounds.Mesh, w.Layout.Hosts) {
+			if !assert.Empty(t, w.Broken, "seed %d, %+v, lost %v, mute %v, split %d, mesh %d, hosts %d", seed, w.Faults, w.Lost, w.Mute, w.Bounds.MaxSharedTargets, w.Bounds.FullMeshHosts, w.Layout.Hosts) {
 				report(t, w)
 			}
 			<-free
@@ -115,7 +115,7 @@
 	var trace [2][]string
 	for i := range trace {
 		w := randomWorld(5)
-		w.Trace = func(at time.Duration, host string, e router.Decide) {
+		w.Trace = func(at time.Duration, host string, e router.Decision) {
 			trace[i] = append(trace[i], at.String()+host+e.Action+e.Job+e.Task+e.Target)
 		}
 		w.Run()
--- a/internal/modeler/client.go
+++ b/internal/modeler/client.go
@@ -22,7 +22,7 @@
 	// of the logarithm).
 	Work        time.Duration
 	Spread, Off float64
-	Need        router.Room
+	Need        router.Resources
 	Stretch     float64
 	Allowance   time.Duration
 	Attempts    int
@@ -106,8 +106,8 @@
 	c.patience = patienceBase + patienceFactor*c.goal
 	c.job = router.Job{
 		ID: c.id, Route: k.Name, Service: "work", Count: count, Need: need,
-		Expect:   time.Duration(length * math.Exp(k.Off*normal()) * float64(time.Second)),
-		Attempts: max(k.Attempts, 1), Stretch: k.Stretch, Allowance: k.Allowance,
+		ExpectedRunTime: time.Duration(length * math.Exp(k.Off*normal()) * float64(time.Second)),
+		MaxAttempts:     max(k.Attempts, 1), Stretch: k.Stretch, Allowance: k.Allowance,
 	}
 	w.clients[c.id] = c
 	w.Tally.asked(c)
@@ -211,7 +211,7 @@
 			w.broken("%s was refused as not run (%s) after %d starts", c.id, e.Verdict.Reason, w.starts[c.id])
 		}
 		if w.Returns && !c.returned {
-			c.comeBack(e.Verdict.After)
+			c.comeBack(e.Verdict.RetryAfter)
 			return
 		}
 		c.ended, c.refused = true, true
--- a/internal/modeler/fault.go
+++ b/internal/modeler/fault.go
@@ -87,7 +87,7 @@
 		return best
 	}
 	for _, h := range w.hosts {
-		if h.up && !h.frozen && (!best.up || h.router.View().Held > best.router.View().Held) {
+		if h.up && !h.frozen && (!best.up || h.router.View().HeldCells > best.router.View().HeldCells) {
 			best = h
 		}
 	}
@@ -114,7 +114,7 @@
 			h.step(router.Drain{})
 			life := h.life
 			w.after(2*time.Second, func() { h.leaving = h.life == life })
-			w.after(w.Bounds.Grace, func() { // the platform's last resort
+			w.after(w.Bounds.ShutdownTimeout, func() { // the platform's last resort
 				if h.life == life && h.up {
 					h.kill()
 					w.after(300*time.Millisecond, h.boot)
@@ -183,7 +183,7 @@
 	case Drain:
 		t.entry.Draining = true
 		w.store.list(t)
-		w.after(w.Bounds.Lease+2*time.Second, func() {
+		w.after(w.Bounds.LeaseDuration+2*time.Second, func() {
 			if t.life == life {
 				t.kill()
 				w.store.unlist(t)
--- a/internal/modeler/host.go
+++ b/internal/modeler/host.go
@@ -34,7 +34,7 @@
 	h.linked = make(map[string]bool)
 	h.router = &router.Router{
 		Policy: h.world.Policy,
-		Self:   router.Member{Name: h.name, Zone: h.zone, Address: h.address, Life: h.world.now.UnixNano()},
+		Self:   router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.world.now.UnixNano()},
 		Bounds: h.world.Bounds,
 	}
 	h.tick(h.life)
@@ -84,7 +84,7 @@
 		return
 	}
 	h.step(router.Tick{})
-	h.later(h.world.Bounds.Tick, func() { h.tick(life) })
+	h.later(h.world.Bounds.TickInterval, func() { h.tick(life) })
 }
 
 // watch reads the configuration now and then.
@@ -123,27 +123,27 @@
 	case router.Redial:
 		h.linked[e.Address] = false
 		h.dial(e.Address)
-	case router.Hangup:
+	case router.CloseLink:
 		delete(h.linked, e.Address)
 	case router.Start:
 		w.deliver(h, e.Target, e.Timeout, func(t *target) answerer { return t.start(h, e) }, func(result router.StartResult, clock router.Reading) router.Event {
-			return router.Began{Target: e.Target.ID, Task: e.Task, Run: e.Run, Result: result, Clock: clock}
+			return router.StartAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Result: result, Clock: clock}
 		})
 	case router.Stop:
 		w.deliver(h, e.Target, e.Timeout, func(t *target) answerer { return t.stop(e) }, func(result router.StartResult, _ router.Reading) router.Event {
-			return router.Stopped{Target: e.Target.ID, Task: e.Task, Run: e.Run, Good: result == router.Running}
+			return router.StopAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Acknowledged: result == router.Running}
 		})
 	case router.Renew:
 		w.renew(h, e)
-	case router.Stake:
+	case router.WriteClaims:
 		w.store.stake(h, e)
-	case router.Keep:
+	case router.SaveLearnedState:
 		w.store.keep(h, e)
-	case router.Read:
+	case router.ReadDirectory:
 		w.store.read(h)
-	case router.Decide:
+	case router.Decision:
 		h.trace(e)
-	case router.Violate:
+	case router.Violation:
 		w.broken("%s: %s: %s", h.name, e.Invariant, e.Detail)
 	case router.Halt:
 		h.kill()
@@ -187,11 +187,11 @@
 		open := w.passes(h.name, h.zone, to.name, to.zone) && w.passes(to.name, to.zone, h.name, h.zone)
 		if open && to.up {
 			h.linked[address] = true
-			h.step(router.Linked{Address: address})
+			h.step(router.LinkOpened{Address: address})
 			return
 		}
 		if open {
-			h.step(router.Severed{Address: address})
+			h.step(router.PeerExited{Address: address})
 		}
 		h.later(redialPause, func() { h.dial(address) })
 	})
@@ -215,7 +215,7 @@
 }
 
 // trace hands over a decision.
-func (h *host) trace(e router.Decide) {
+func (h *host) trace(e router.Decision) {
 	if h.world.Trace != nil {
 		h.world.Trace(h.world.now.Sub(h.world.start), h.name, e)
 	}
--- a/internal/modeler/lost_test.go
+++ b/internal/modeler/lost_test.go
@@ -35,5 +35,5 @@
 func TestReturnOfAllHosts(t *testing.T) {
 	least := lostAll(t, router.Policy{})
 	assert.GreaterOrEqual(t, least, 0.90)
-	assert.Greater(t, least, lostAll(t, router.Policy{Retries: router.AsNew}))
+	assert.Greater(t, least, lostAll(t, router.Policy{RetryOrder: router.RetriesAsNew}))
 }
--- a/internal/modeler/scenario.go
+++ b/internal/modeler/scenario.go
@@ -33,12 +33,12 @@
 func Variants() []Variant {
 	return []Variant{
 		{"pooled", func(*World) {}},
-		{"unshared", func(w *World) { w.Policy.Sharing = router.Unshared }},
-		{"zones", func(w *World) { w.Bounds.Split = 1 }},
+		{"unshared", func(w *World) { w.Policy.Sharing = router.NoSharing }},
+		{"zones", func(w *World) { w.Bounds.MaxSharedTargets = 1 }},
 		{"patient", func(w *World) { w.Policy.Admission = router.AdmitAll }},
-		{"arrival", func(w *World) { w.Policy.Order = router.ByArrival }},
+		{"arrival", func(w *World) { w.Policy.QueueOrder = router.ByArrival }},
 		{"first-come", func(w *World) {
-			w.Policy = router.Policy{Order: router.ByArrival, Admission: router.AdmitAll, Sharing: router.Unshared}
+			w.Policy = router.Policy{QueueOrder: router.ByArrival, Admission: router.AdmitAll, Sharing: router.NoSharing}
 		}},
 	}
 }
@@ -47,13 +47,13 @@
 func Ablations() []Variant {
 	list := []Variant{
 		Variants()[0],
-		{"without order", func(w *World) { w.Policy.Order = router.ByArrival }},
+		{"without order", func(w *World) { w.Policy.QueueOrder = router.ByArrival }},
 		{"without refusals", func(w *World) { w.Policy.Admission = router.AdmitAll }},
-		{"without shares", func(w *World) { w.Policy.Sharing = router.Unshared }},
-		{"without retries", func(w *World) { w.Policy.Retries = router.AsNew }},
+		{"without shares", func(w *World) { w.Policy.Sharing = router.NoSharing }},
+		{"without retries", func(w *World) { w.Policy.RetryOrder = router.RetriesAsNew }},
 	}
 	for _, m := range router.Mechanisms() {
-		list = append(list, Variant{"without " + string(m), func(w *World) { w.Policy.Without = m }})
+		list = append(list, Variant{"without " + string(m), func(w *World) { w.Policy.Disabled = m }})
 	}
 	return list
 }
--- a/internal/modeler/site.go
+++ b/internal/modeler/site.go
@@ -9,7 +9,7 @@
 // Usual is the traffic of the users' sites at a load of 1, with tasks that need
 // so much of a target's processor (thousandths of a core).
 func Usual(cpu int) []Kind {
-	need := router.Room{CPU: cpu, Memory: 64}
+	need := router.Resources{CPU: cpu, Memory: 64}
 	kind := Kind{Spread: 0.4, Off: 0.4, Need: need, Stretch: 1.6, Allowance: 60 * time.Millisecond}
 	check, manifest, confirm := kind, kind, kind
 	check.Name, check.Rate, check.Tasks, check.Work, check.Attempts, check.Worth = "check", 34.4, 8, 60*time.Millisecond, 3, 0.0291
@@ -23,7 +23,7 @@
 	return World{
 		Layout: Layout{
 			Zones: []string{"north", "south", "west"}, Hosts: 2, Targets: 16,
-			Room: router.Room{CPU: 32000, Memory: 65536}, SlowFactor: 1.3,
+			Room: router.Resources{CPU: 32000, Memory: 65536}, SlowFactor: 1.3,
 			Hop: 900 * time.Microsecond, Near: 200 * time.Microsecond,
 		},
 		Kinds: Usual(14000), Load: 1, Seed: 1, Bounds: router.Standard(),
@@ -34,7 +34,7 @@
 // Kutchwala is a site with targets of half the size and longer hops.
 func Kutchwala() World {
 	w := Restrepo()
-	w.Layout.Room = router.Room{CPU: 16000, Memory: 32768}
+	w.Layout.Room = router.Resources{CPU: 16000, Memory: 32768}
 	w.Layout.Hop = 1400 * time.Microsecond
 	w.Kinds = Usual(6800)
 	return w
--- a/internal/modeler/size_test.go
+++ b/internal/modeler/size_test.go
@@ -19,7 +19,7 @@
 	w.Layout.Zones = []string{"north", "south", "west", "east", "middle"}
 	w.Layout.Hosts = hosts / len(w.Layout.Zones)
 	w.Layout.Targets = 8
-	w.Bounds.Split = 10
+	w.Bounds.MaxSharedTargets = 10
 	w.Load = 0.25
 	return &w
 }
@@ -48,7 +48,7 @@
 			assert.Empty(t, w.Broken)
 			held, least := 0, math.MaxInt
 			for _, h := range w.hosts {
-				held += h.router.View().Held
+				held += h.router.View().HeldCells
 				least = min(least, h.sent-before[h.name])
 			}
 			assert.Equal(t, len(w.Layout.Zones), held)
@@ -63,7 +63,7 @@
 func serves(h *host) bool {
 	for _, e := range h.router.Step(h.world.now, router.Inspect{}) {
 		if s, ok := e.(router.State); ok {
-			return slices.ContainsFunc(s.Cells, func(c router.CellState) bool { return c.Zone == h.zone && c.Held })
+			return slices.ContainsFunc(s.Cells, func(c router.CellState) bool { return c.Zone == h.zone && c.Reachable })
 		}
 	}
 	return false
--- a/internal/modeler/store.go
+++ b/internal/modeler/store.go
@@ -15,10 +15,10 @@
 	lost    bool // writes take effect and are not answered
 	delay   time.Duration
 	version uint64
-	claims  map[string]router.Stored
+	claims  map[string]router.StoredClaim
 	members map[string]memberRow
 	entries map[string]router.Target
-	kept    map[string]router.Keep // by zone
+	kept    map[string]router.SaveLearnedState // by zone
 	current *router.Config
 }
 
@@ -32,9 +32,9 @@
 
 func newStore(w *World) *store {
 	return &store{
-		world: w, delay: storeTrip, claims: make(map[string]router.Stored),
+		world: w, delay: storeTrip, claims: make(map[string]router.StoredClaim),
 		members: make(map[string]memberRow), entries: make(map[string]router.Target),
-		kept: make(map[string]router.Keep),
+		kept: make(map[string]router.SaveLearnedState),
 	}
 }
 
@@ -56,9 +56,9 @@
 			row.member.Slot = len(s.members) + 1
 		}
 		row.lives++
-		row.member = router.Member{Name: h.name, Zone: h.zone, Address: h.address, Life: h.router.Self.Life, Slot: row.member.Slot}
+		row.member = router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.router.Self.Incarnation, Slot: row.member.Slot}
 		s.members[h.address] = row
-		enrolled := router.Enrol{Slot: row.member.Slot, Life: row.lives}
+		enrolled := router.Registered{Slot: row.member.Slot, SlotUses: row.lives}
 		for _, address := range sortedNames(s.members) {
 			enrolled.Members = append(enrolled.Members, s.members[address].member)
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *store) stake(h *host, e router.Stake) {
+func (s *store) stake(h *host, e router.WriteClaims) {
 	ok := s.reach(h, func() {
 		claimed := s.write(e)
 		if !s.lost {
@@ -96,17 +96,17 @@
 }
 
 // write writes claims if none of their rows has changed.
-func (s *store) write(e router.Stake) router.Claimed {
-	claimed := router.Claimed{Token: e.Token, Result: router.Won}
+func (s *store) write(e router.WriteClaims) router.ClaimsWritten {
+	claimed := router.ClaimsWritten{Token: e.Token, Result: router.ClaimWon}
 	for _, row := range e.Rows {
 		if s.claims[row.Claim.Zone].Version != row.Version {
-			claimed.Result = router.Beaten
+			claimed.Result = router.ClaimConflict
 		}
 	}
-	if claimed.Result == router.Won {
+	if claimed.Result == router.ClaimWon {
 		s.version++
 		for _, row := range e.Rows {
-			s.claims[row.Claim.Zone] = router.Stored{Claim: row.Claim, Version: s.version}
+			s.claims[row.Claim.Zone] = router.StoredClaim{Claim: row.Claim, Version: s.version}
 		}
 	}
 	for _, row := range e.Rows {
@@ -115,15 +115,15 @@
 	return claimed
 }
 
-func (s *store) keep(h *host, e router.Keep) {
+func (s *store) keep(h *host, e router.SaveLearnedState) {
 	s.reach(h, func() { s.kept[h.zone] = e })
 }
 
 func (s *store) recall(h *host) {
 	s.reach(h, func() {
-		var e router.Recall
+		var e router.LearnedStateRead
 		for _, zone := range sortedNames(s.kept) {
-			e.Kept = append(e.Kept, s.kept[zone])
+			e.Saved = append(e.Saved, s.kept[zone])
 		}
 		h.later(0, func() { h.step(e) })
 	})
@@ -136,10 +136,10 @@
 		for _, id := range sortedNames(s.entries) {
 			d.Targets = append(d.Targets, s.entries[id])
 		}
-		h.later(0, func() { h.step(router.Locate{Asked: asked, Directory: d}) })
+		h.later(0, func() { h.step(router.DirectoryRead{RequestedAt: asked, Directory: d}) })
 	})
 	if !ok {
-		h.later(500*time.Millisecond, func() { h.step(router.Unread{}) })
+		h.later(500*time.Millisecond, func() { h.step(router.DirectoryReadFailed{}) })
 	}
 }
 
--- a/internal/modeler/summary.go
+++ b/internal/modeler/summary.go
@@ -97,7 +97,7 @@
 	cores := 0.0
 	for _, name := range w.names {
 		t := w.targets[name]
-		cores += float64(t.entry.Room.CPU) / milli / t.slow
+		cores += float64(t.entry.Capacity.CPU) / milli / t.slow
 	}
 	longest := time.Duration(0)
 	for _, c := range w.clients {
--- a/internal/modeler/target.go
+++ b/internal/modeler/target.go
@@ -22,7 +22,7 @@
 	ended  []router.End
 	number int
 	closed map[string]int // highest run that was stopped or has ended, by task
-	used   router.Room
+	used   router.Resources
 	mode   mode
 	waits  []func()
 }
@@ -40,7 +40,7 @@
 type run struct {
 	task   string
 	number int
-	need   router.Room
+	need   router.Resources
 	began  time.Time
 	length time.Duration
 	over   bool
@@ -58,7 +58,7 @@
 	t := &target{
 		world: w, slow: slow, drift: (w.random.Float64() - 0.5) * 0.04,
 		entry: router.Target{
-			ID: id, Address: "10.128.0.1:1", Service: "work", Zone: zone, Room: room, Labels: []string{kind, "rack"},
+			ID: id, Address: "10.128.0.1:1", Service: "work", Zone: zone, Capacity: room, Labels: []string{kind, "rack"},
 		},
 	}
 	w.targets[id] = t
@@ -69,9 +69,9 @@
 func (t *target) boot() {
 	t.up, t.mode = true, fine
 	t.life++
-	t.token, t.lease, t.number, t.used = 0, time.Time{}, 0, router.Room{}
+	t.token, t.lease, t.number, t.used = 0, time.Time{}, 0, router.Resources{}
 	t.runs, t.closed, t.ended, t.waits = make(map[string]*run), make(map[string]int), nil, nil
-	t.entry.Born = t.world.now.UnixMilli()
+	t.entry.StartedAt = t.world.now.UnixMilli()
 	t.entry.Draining = false
 	t.world.store.list(t)
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	left := time.Duration(until-t.clock()) * time.Millisecond
-	left = min(left, t.world.Bounds.Lease)
+	left = min(left, t.world.Bounds.LeaseDuration)
 	if end := t.world.now.Add(time.Duration(float64(left) / (1 + t.drift))); end.After(t.lease) {
 		t.lease = end
 		life := t.life
@@ -118,7 +118,7 @@
 
 func (t *target) lapse() {
 	for _, n := range t.sorted() {
-		t.end(n, router.Lapsed)
+		t.end(n, router.EndLeaseExpired)
 	}
 }
 
@@ -146,19 +146,19 @@
 		case !t.fence(e.Token):
 			return router.Fenced
 		case t.runs[e.Task] != nil && t.runs[e.Task].number == e.Run:
-			t.extend(e.Until)
+			t.extend(e.LeaseEnd)
 			return router.Running
 		case e.Run <= t.closed[e.Task]:
-			t.extend(e.Until)
-			return router.Outdated
-		case e.Until <= t.clock():
-			return router.Belated
+			t.extend(e.LeaseEnd)
+			return router.StaleRun
+		case e.LeaseEnd <= t.clock():
+			return router.OrderExpired
 		}
-		t.extend(e.Until)
+		t.extend(e.LeaseEnd)
 		job := w.jobOf(e.Task)
 		need := job.Need
-		if !t.entry.Room.Less(t.used).Fits(need) {
-			return router.Crowded
+		if !t.entry.Capacity.Minus(t.used).Fits(need) {
+			return router.NoCapacity
 		}
 		w.begins(t, h, e)
 		n := &run{task: e.Task, number: e.Run, need: need, began: w.now, length: w.lengthOf(e.Task, t)}
@@ -172,10 +172,10 @@
 // schedule plans the run's end.
 func (t *target) schedule(n *run) {
 	w := t.world
-	how, length := router.Done, n.length
+	how, length := router.EndDone, n.length
 	switch t.mode {
 	case failing:
-		how, length = router.Broke, time.Millisecond
+		how, length = router.EndFailed, time.Millisecond
 	case hanging:
 		return
 	case slowed:
@@ -189,23 +189,23 @@
 	})
 }
 
-func add(a, b router.Room) router.Room {
-	return router.Room{CPU: a.CPU + b.CPU, Memory: a.Memory + b.Memory, GPU: a.GPU + b.GPU}
+func add(a, b router.Resources) router.Resources {
+	return router.Resources{CPU: a.CPU + b.CPU, Memory: a.Memory + b.Memory, GPU: a.GPU + b.GPU}
 }
 
 // end ends a run and tells those who wait.
-func (t *target) end(n *run, how router.Manner) {
+func (t *target) end(n *run, how router.EndReason) {
 	if n.over || t.runs[n.task] != n {
 		return
 	}
 	n.over = true
 	delete(t.runs, n.task)
-	t.used = t.used.Less(n.need)
+	t.used = t.used.Minus(n.need)
 	t.closed[n.task] = max(t.closed[n.task], n.number)
 	t.number++
-	t.ended = append(t.ended, router.End{Number: t.number, Task: n.task, Run: n.number, How: how})
+	t.ended = append(t.ended, router.End{Number: t.number, Task: n.task, Run: n.number, Reason: how})
 	t.world.ends(t, n)
-	if how == router.Done {
+	if how == router.EndDone {
 		t.world.finished(n.task)
 	}
 	waits := t.waits
@@ -222,14 +222,14 @@
 		}
 		t.closed[e.Task] = max(t.closed[e.Task], e.Run)
 		if n := t.runs[e.Task]; n != nil && n.number <= e.Run {
-			t.world.after(t.world.Bounds.Stop/2, func() { t.end(n, router.Halted) })
+			t.world.after(t.world.Bounds.StopDuration/2, func() { t.end(n, router.EndStopped) })
 		}
 		return router.Running
 	}
 }
 
 // lists returns the answer to a renewal.
-func (t *target) lists(e router.Renew, sent time.Time) router.Renewed {
+func (t *target) lists(e router.Renew, sent time.Time) router.RenewAnswered {
 	var kept []router.End
 	for _, end := range t.ended {
 		if end.Number > e.Acked {
@@ -237,13 +237,13 @@
 		}
 	}
 	t.ended = kept
-	answer := router.Renewed{Target: e.Target.ID, Token: e.Token, Sent: sent, Look: e.Look, Result: router.Running, Born: t.entry.Born, Ended: kept}
+	answer := router.RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: sent, Poll: e.Poll, Result: router.Running, StartedAt: t.entry.StartedAt, Ended: kept}
 	for _, n := range t.sorted() {
 		percent := 0.0
 		if t.mode != hanging {
 			percent = min(99, float64(t.world.now.Sub(n.began))/float64(n.length)*100)
 		}
-		answer.Running = append(answer.Running, router.Live{Task: n.task, Run: n.number, Percent: float64(int(percent))})
+		answer.Running = append(answer.Running, router.RunningTask{Task: n.task, Run: n.number, Percent: float64(int(percent))})
 	}
 	return answer
 }
@@ -257,7 +257,7 @@
 			h.step(reply(result, clock))
 		}
 	}
-	h.later(timeout, func() { answer(router.Doubtful, router.Reading{}) })
+	h.later(timeout, func() { answer(router.NoAnswer, router.Reading{}) })
 	t := w.targets[to.ID]
 	if t == nil || !w.passes(h.name, h.zone, t.entry.ID, t.entry.Zone) {
 		return
@@ -274,7 +274,7 @@
 	}
 	w.after(there, func() {
 		if !t.up {
-			h.later(there, func() { answer(router.Unsent, router.Reading{}) })
+			h.later(there, func() { answer(router.NotSent, router.Reading{}) })
 			return
 		}
 		result := order(t)()
@@ -292,14 +292,14 @@
 func (w *World) renew(h *host, e router.Renew) {
 	sent := w.now
 	answered := false
-	answer := func(event router.Renewed) {
+	answer := func(event router.RenewAnswered) {
 		if !answered {
 			answered = true
 			h.step(event)
 		}
 	}
 	h.later(e.Timeout, func() {
-		answer(router.Renewed{Target: e.Target.ID, Token: e.Token, Sent: sent, Look: e.Look, Result: router.Doubtful})
+		answer(router.RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: sent, Poll: e.Poll, Result: router.NoAnswer})
 	})
 	t := w.targets[e.Target.ID]
 	if t == nil || !w.passes(h.name, h.zone, t.entry.ID, t.entry.Zone) {
@@ -312,11 +312,11 @@
 		}
 		if !t.fence(e.Token) {
 			h.later(there, func() {
-				answer(router.Renewed{Target: e.Target.ID, Token: e.Token, Sent: sent, Look: e.Look, Result: router.Fenced})
+				answer(router.RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: sent, Poll: e.Poll, Result: router.Fenced})
 			})
 			return
 		}
-		t.extend(e.Until)
+		t.extend(e.LeaseEnd)
 		reply := func() {
 			if !w.passes(t.entry.ID, t.entry.Zone, h.name, h.zone) || w.mutes() {
 				return
--- a/internal/modeler/world.go
+++ b/internal/modeler/world.go
@@ -19,7 +19,7 @@
 	Targets int // a zone
 	// Room is that of a usual target. Every third one is half as large again
 	// and takes SlowFactor times as long.
-	Room       router.Room
+	Room       router.Resources
 	SlowFactor float64
 	// Hop is the one-way delay between zones, Near within one.
 	Hop, Near time.Duration
@@ -48,7 +48,7 @@
 
 	// Trace is told of each decision, with the time since the start of the load
 	// and the host's name. It may be nil.
-	Trace func(at time.Duration, host string, e router.Decide)
+	Trace func(at time.Duration, host string, e router.Decision)
 
 	now     time.Time
 	start   time.Time
--- a/internal/registrar/enroller.go
+++ b/internal/registrar/enroller.go
@@ -28,26 +28,26 @@
 
 // enrol takes a slot, and then reads who else is there: of two hosts that start
 // at once, one sees the other.
-func (e *enroller) enrol(ctx context.Context) (router.Enrol, error) {
+func (e *enroller) enrol(ctx context.Context) (router.Registered, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*callTimeout)
 	defer cancel()
 	g := e.registrar
 	rows, _, err := g.Table.List(ctx, Members)
 	if err != nil {
-		return router.Enrol{}, err
+		return router.Registered{}, err
 	}
 	slot, lives, err := e.take(ctx, rows)
 	if err != nil {
-		return router.Enrol{}, err
+		return router.Registered{}, err
 	}
 	if rows, _, err = g.Table.List(ctx, Members); err != nil {
-		return router.Enrol{}, err
+		return router.Registered{}, err
 	}
 	claims, _, err := g.Table.List(ctx, Cells)
 	if err != nil {
-		return router.Enrol{}, err
+		return router.Registered{}, err
 	}
-	enrolled := router.Enrol{Slot: slot, Life: lives, Claims: g.claims(claims)}
+	enrolled := router.Registered{Slot: slot, SlotUses: lives, Claims: g.claims(claims)}
 	for _, row := range rows {
 		var found member
 		if err := cbor.Unmarshal(row.Value, &found); err != nil {
@@ -93,7 +93,7 @@
 	if found.Member.Address != self.Address {
 		return 0, false
 	}
-	if found.Member.Life == self.Life {
+	if found.Member.Incarnation == self.Incarnation {
 		return found.Lives, true // written by a call whose answer was lost
 	}
 	return found.Lives + 1, true
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -121,29 +121,29 @@
 	c.work(ctx)
 }
 
-// Read reads the list of targets.
-func (g *Registrar) Read() {
+// ReadDirectory reads the list of targets.
+func (g *Registrar) ReadDirectory() {
 	asked := g.Clock.Now()
 	c := &call{work: func(ctx context.Context) {
 		directory, err := g.catalog.read(ctx, g.Table)
 		if err != nil {
 			g.Log.V(1).Info("list of targets not read", "error", err.Error())
-			g.Sink.Put(router.Unread{})
+			g.Sink.Put(router.DirectoryReadFailed{})
 			return
 		}
-		g.Sink.Put(router.Locate{Asked: asked, Directory: directory})
+		g.Sink.Put(router.DirectoryRead{RequestedAt: asked, Directory: directory})
 	}}
 	go c.run(g.context)
 }
 
-// Stake writes claims.
-func (g *Registrar) Stake(e router.Stake) {
+// WriteClaims writes claims.
+func (g *Registrar) WriteClaims(e router.WriteClaims) {
 	c := &call{work: func(ctx context.Context) { g.Sink.Put(g.stake(ctx, e)) }}
 	go c.run(g.context)
 }
 
-func (g *Registrar) stake(ctx context.Context, e router.Stake) router.Claimed {
-	result := router.Claimed{Token: e.Token, Result: router.Silent}
+func (g *Registrar) stake(ctx context.Context, e router.WriteClaims) router.ClaimsWritten {
+	result := router.ClaimsWritten{Token: e.Token, Result: router.ClaimTimeout}
 	puts := make([]Row, 0, len(e.Rows))
 	for _, stored := range e.Rows {
 		value, err := cbor.Marshal(stored.Claim)
@@ -156,22 +156,22 @@
 	rows, err := g.Table.Commit(ctx, puts, nil)
 	switch {
 	case err == nil:
-		result.Result = router.Won
+		result.Result = router.ClaimWon
 	case errors.Is(err, ErrConflict):
-		result.Result = router.Beaten
+		result.Result = router.ClaimConflict
 	default:
 		g.Log.Info("claim not confirmed", "token", e.Token, "error", err.Error())
 		return result
 	}
 	result.Rows = g.claims(rows)
-	if result.Result == router.Beaten && own(result.Rows, e.Token) == len(e.Rows) {
-		result.Result = router.Won // an earlier call whose answer was lost
+	if result.Result == router.ClaimConflict && own(result.Rows, e.Token) == len(e.Rows) {
+		result.Result = router.ClaimWon // an earlier call whose answer was lost
 	}
 	return result
 }
 
 // own counts the rows that have the token.
-func own(rows []router.Stored, token uint64) int {
+func own(rows []router.StoredClaim, token uint64) int {
 	count := 0
 	for _, row := range rows {
 		if row.Claim.Token == token {
@@ -182,10 +182,10 @@
 }
 
 // claims decodes claim rows; one that cannot be read counts as unclaimed.
-func (g *Registrar) claims(rows []Row) []router.Stored {
-	var list []router.Stored
+func (g *Registrar) claims(rows []Row) []router.StoredClaim {
+	var list []router.StoredClaim
 	for _, row := range rows {
-		stored := router.Stored{Claim: router.Claim{Zone: row.Key}, Version: row.Version}
+		stored := router.StoredClaim{Claim: router.Claim{Zone: row.Key}, Version: row.Version}
 		if len(row.Value) > 0 {
 			if err := cbor.Unmarshal(row.Value, &stored.Claim); err != nil {
 				g.Log.Error(err, "claim not readable", "zone", row.Key, "version", row.Version)
@@ -196,8 +196,8 @@
 	return list
 }
 
-// Expel removes a member's row, unless another process has it by now.
-func (g *Registrar) Expel(m router.Member) {
+// RemoveMember removes a member's row, unless another process has it by now.
+func (g *Registrar) RemoveMember(m router.Member) {
 	c := &call{work: func(ctx context.Context) {
 		if err := g.expel(ctx, m); err != nil {
 			g.Log.Info("member not removed", "host", m.Name, "error", err.Error())
@@ -219,7 +219,7 @@
 		if err := cbor.Unmarshal(row.Value, &found); err != nil {
 			return err
 		}
-		if found.Member.Life != m.Life {
+		if found.Member.Incarnation != m.Incarnation {
 			return nil // another process has the row by now
 		}
 		_, err = g.Table.Commit(ctx, nil, []Row{row})
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// Keep writes what this host has learned, over what an earlier holder of its zone has.
-func (g *Registrar) Keep(k router.Keep) {
+// SaveLearnedState writes what this host has learned, over what an earlier holder of its zone has.
+func (g *Registrar) SaveLearnedState(k router.SaveLearnedState) {
 	c := &call{work: func(ctx context.Context) {
 		if err := g.keep(ctx, k); err != nil {
 			g.Log.Info("lessons not written", "error", err.Error())
@@ -238,7 +238,7 @@
 	go c.run(g.context)
 }
 
-func (g *Registrar) keep(ctx context.Context, k router.Keep) error {
+func (g *Registrar) keep(ctx context.Context, k router.SaveLearnedState) error {
 	value, err := cbor.Marshal(k)
 	if err != nil {
 		return err
@@ -265,14 +265,14 @@
 		g.Log.Info("lessons not read", "error", err.Error())
 		return
 	}
-	var e router.Recall
+	var e router.LearnedStateRead
 	for _, row := range rows {
-		var k router.Keep
+		var k router.SaveLearnedState
 		if err := cbor.Unmarshal(row.Value, &k); err != nil {
 			g.Log.Error(err, "lessons not readable", "zone", row.Key, "version", row.Version)
 			continue
 		}
-		e.Kept = append(e.Kept, k)
+		e.Saved = append(e.Saved, k)
 	}
 	g.Sink.Put(e)
 }
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -87,9 +87,9 @@
 	return changes, m.version, nil
 }
 
-func enrolled(t *testing.T, m *table, address string, life int64) router.Enrol {
+func enrolled(t *testing.T, m *table, address string, life int64) router.Registered {
 	t.Helper()
-	e := &enroller{registrar: &Registrar{Self: router.Member{Name: address, Address: address, Life: life}, Table: m, Log: logr.Discard()}}
+	e := &enroller{registrar: &Registrar{Self: router.Member{Name: address, Address: address, Incarnation: life}, Table: m, Log: logr.Discard()}}
 	for range 3 {
 		got, err := e.enrol(t.Context())
 		if err == nil {
@@ -98,7 +98,7 @@
 		require.ErrorIs(t, err, errLost)
 	}
 	t.Fatal("not registered after three tries")
-	return router.Enrol{}
+	return router.Registered{}
 }
 
 // TestEnrol: hosts get slots of their own, also from the same start; a host that
@@ -114,7 +114,7 @@
 	assert.NotEqual(t, firstSlot("10.0.0.2:1"), second.Slot)
 	again := enrolled(t, m, "10.0.0.1:1", 2)
 	assert.Equal(t, first.Slot, again.Slot)
-	assert.Equal(t, first.Life+1, again.Life)
+	assert.Equal(t, first.SlotUses+1, again.SlotUses)
 	assert.Len(t, again.Members, 3)
 }
 
@@ -123,7 +123,7 @@
 func TestEnrolWithLostAnswer(t *testing.T) {
 	m := &table{rows: make(map[string]Row), lose: 1}
 	got := enrolled(t, m, "10.0.0.1:1", 1)
-	assert.Equal(t, 1, got.Life)
+	assert.Equal(t, 1, got.SlotUses)
 	assert.Len(t, got.Members, 1)
 }
 
@@ -132,19 +132,19 @@
 func TestStake(t *testing.T) {
 	m := &table{rows: make(map[string]Row)}
 	g := &Registrar{Table: m, Log: logr.Discard()}
-	claim := func(token uint64) router.Claimed {
-		return g.stake(t.Context(), router.Stake{Token: token, Rows: []router.Stored{{Claim: router.Claim{Zone: "z", Token: token}}}})
+	claim := func(token uint64) router.ClaimsWritten {
+		return g.stake(t.Context(), router.WriteClaims{Token: token, Rows: []router.StoredClaim{{Claim: router.Claim{Zone: "z", Token: token}}}})
 	}
-	assert.Equal(t, router.Won, claim(5).Result)
+	assert.Equal(t, router.ClaimWon, claim(5).Result)
 	beaten := claim(7)
-	assert.Equal(t, router.Beaten, beaten.Result)
+	assert.Equal(t, router.ClaimConflict, beaten.Result)
 	require.Len(t, beaten.Rows, 1)
 	assert.Equal(t, uint64(5), beaten.Rows[0].Claim.Token)
 	assert.Positive(t, beaten.Rows[0].Version)
-	assert.Equal(t, router.Won, claim(5).Result, "the answer to an earlier call was lost")
+	assert.Equal(t, router.ClaimWon, claim(5).Result, "the answer to an earlier call was lost")
 	m.lose = 1
-	next := g.stake(t.Context(), router.Stake{Token: 9, Rows: []router.Stored{{Claim: router.Claim{Zone: "z", Token: 9}, Version: beaten.Rows[0].Version}}})
-	assert.Equal(t, router.Silent, next.Result)
+	next := g.stake(t.Context(), router.WriteClaims{Token: 9, Rows: []router.StoredClaim{{Claim: router.Claim{Zone: "z", Token: 9}, Version: beaten.Rows[0].Version}}})
+	assert.Equal(t, router.ClaimTimeout, next.Result)
 }
 
 // TestCatalog: the whole list of targets is read once; then changes, unless the store has
@@ -179,15 +179,15 @@
 func TestKeep(t *testing.T) {
 	m := &table{rows: make(map[string]Row)}
 	g := &Registrar{Self: router.Member{Zone: "north"}, Table: m, Log: logr.Discard(), Sink: make(sink, 1)}
-	recalled := func() []router.Keep {
+	recalled := func() []router.SaveLearnedState {
 		g.recall(t.Context())
-		return (<-g.Sink.(sink)).(router.Recall).Kept
+		return (<-g.Sink.(sink)).(router.LearnedStateRead).Saved
 	}
 	assert.Empty(t, recalled())
 	for _, count := range []int{5, 7} {
-		want := router.Keep{Lessons: []router.Lesson{{Route: "r", Count: count, Timeouts: 3, MeanTimeout: 1.5}}}
+		want := router.SaveLearnedState{Routes: []router.RouteStats{{Route: "r", Count: count, Timeouts: 3, MeanTimeout: 1.5}}}
 		require.NoError(t, g.keep(t.Context(), want))
-		assert.Equal(t, []router.Keep{want}, recalled())
+		assert.Equal(t, []router.SaveLearnedState{want}, recalled())
 	}
 	m.rows[Lessons+"south"] = Row{Table: Lessons, Key: "south", Value: []byte{0xff}, Version: 99}
 	assert.Len(t, recalled(), 1)
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -53,7 +53,7 @@
 func (r *Router) admit(j *job) (Verdict, bool) {
 	v := Verdict{ID: j.spec.ID, Outcome: Refused}
 	if !r.fitsAny(&j.spec) {
-		v.Outcome, v.Reason = Failed, Misfit
+		v.Outcome, v.Reason = Failed, DoesNotFit
 		return v, true
 	}
 	if j.begun || j.resent || r.Policy.Admission == AdmitAll {
@@ -68,10 +68,10 @@
 	}
 	if r.now.Add(wait).After(until) {
 		spell := r.shareOf(j).refuse(r.now)
-		if !r.uses(Spells) {
+		if !r.uses(OverloadBackoff) {
 			spell = 0
 		}
-		v.Reason, v.After = Overload, min(max(r.now.Add(wait).Sub(j.latest), spell, minRetry), maxRetry)
+		v.Reason, v.RetryAfter = Overload, min(max(r.now.Add(wait).Sub(j.latest), spell, minRetry), maxRetry)
 		return v, true
 	}
 	r.shareOf(j).credit -= j.work()
@@ -87,7 +87,7 @@
 		mean = work
 	}
 	r.works[j.spec.Route] = mean + (work-mean)/workWindow
-	if !r.uses(WorkWeights) {
+	if !r.uses(WorkWeighting) {
 		return 1
 	}
 	return min(baseShare+(1-baseShare)*work/mean, mostShare)
@@ -112,7 +112,7 @@
 			continue
 		}
 		known = true
-		if t.Room.Fits(spec.Need) && t.has(spec.Label) {
+		if t.Capacity.Fits(spec.Need) && t.has(spec.Label) {
 			return true
 		}
 	}
@@ -146,11 +146,11 @@
 		if t.Service != spec.Service || !r.soon(t) {
 			continue
 		}
-		total += int(float64(t.Room.CPU) / r.speed(t.kind()))
+		total += int(float64(t.Capacity.CPU) / r.speed(t.kind()))
 		if t.fenced && !r.usable(t) {
 			continue
 		}
-		left := t.Room.Less(t.used)
+		left := t.Capacity.Minus(t.used)
 		if spec.Need.CPU > 0 && left.Fits(spec.Need) {
 			free += left.CPU / spec.Need.CPU
 		}
@@ -161,7 +161,7 @@
 // soon reports whether a target may be given tasks now or within a moment: after
 // a change of the holder, targets are asked first what they run.
 func (r *Router) soon(t *target) bool {
-	young := r.now.Sub(r.cells[t.Zone].acquired) < r.Bounds.Silence
+	young := r.now.Sub(r.cells[t.Zone].acquired) < r.Bounds.PeerTimeout
 	return t.listed && !t.Draining && (t.fenced || young) && (t.misses == 0 || young) && (!r.now.Before(t.barred) || !t.trial)
 }
 
@@ -172,7 +172,7 @@
 	case j.resent && !r.isCleared(j):
 		// Its other tasks may still be found running for a moment; after that
 		// they cannot start before the quarantine is over.
-		if r.now.Sub(j.offered) > r.Bounds.Orphan && j.cleared.After(last) {
+		if r.now.Sub(j.offered) > r.Bounds.OrphanGrace && j.cleared.After(last) {
 			r.giveUp(j, Expired)
 		}
 	case r.now.After(last):
@@ -195,7 +195,7 @@
 
 // giveUp ends a job: as refused while no task has started, as failed otherwise.
 func (r *Router) giveUp(j *job, reason Reason) {
-	v := Verdict{Outcome: Refused, Reason: reason, After: minRetry}
+	v := Verdict{Outcome: Refused, Reason: reason, RetryAfter: minRetry}
 	if j.begun {
 		v = Verdict{Outcome: Failed, Reason: reason}
 	}
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -15,20 +15,20 @@
 }
 
 func benchTask(b *testing.B, targets int) {
-	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
+	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	now := time.Unix(origin, 0)
 	step := func(e Event) []Effect { return r.Step(now, e) }
 	step(Tick{})
-	step(Enrol{Slot: 1, Life: 1})
+	step(Registered{Slot: 1, SlotUses: 1})
 	var list []Target
 	for i := range targets {
-		list = append(list, Target{ID: fmt.Sprintf("t%04d", i), Address: "10.1.0.1:1", Service: "work", Zone: "north", Room: Room{CPU: 2000, Memory: 10}, Labels: []string{"a"}})
+		list = append(list, Target{ID: fmt.Sprintf("t%04d", i), Address: "10.1.0.1:1", Service: "work", Zone: "north", Capacity: Resources{CPU: 2000, Memory: 10}, Labels: []string{"a"}})
 	}
-	step(Locate{Asked: now, Directory: Directory{Version: 1, Targets: list}})
-	now = now.Add(r.Bounds.Settle + r.Bounds.Tick)
-	stake := only[Stake](step(Tick{}))[0]
-	for _, e := range only[Renew](step(Claimed{Token: stake.Token, Result: Won, Rows: stake.Rows})) {
-		step(Renewed{Target: e.Target.ID, Token: e.Token, Sent: now, Result: Running, Clock: Reading{Millis: 1, At: now}})
+	step(DirectoryRead{RequestedAt: now, Directory: Directory{Version: 1, Targets: list}})
+	now = now.Add(r.Bounds.StartupDelay + r.Bounds.TickInterval)
+	stake := only[WriteClaims](step(Tick{}))[0]
+	for _, e := range only[Renew](step(ClaimsWritten{Token: stake.Token, Result: ClaimWon, Rows: stake.Rows})) {
+		step(RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: now, Result: Running, Clock: Reading{Millis: 1, At: now}})
 	}
 	number := 0
 	run := func() {
@@ -41,11 +41,11 @@
 			b.Fatal("the task was not started")
 		}
 		s := starts[0]
-		step(Began{Target: s.Target.ID, Task: s.Task, Run: s.Run, Result: Running, Clock: Reading{Millis: int64(number), At: now}})
+		step(StartAnswered{Target: s.Target.ID, Task: s.Task, Run: s.Run, Result: Running, Clock: Reading{Millis: int64(number), At: now}})
 		t := r.targets[s.Target.ID]
-		step(Renewed{
-			Target: t.ID, Token: t.token, Sent: now, Result: Running, Clock: Reading{Millis: int64(number), At: now},
-			Ended: []End{{Number: t.acked + 1, Task: s.Task, Run: s.Run, How: Done}},
+		step(RenewAnswered{
+			Target: t.ID, Token: t.token, SentAt: now, Result: Running, Clock: Reading{Millis: int64(number), At: now},
+			Ended: []End{{Number: t.acked + 1, Task: s.Task, Run: s.Run, Reason: EndDone}},
 		})
 		for _, x := range r.targets {
 			x.fresh = now
--- a/internal/router/cell.go
+++ b/internal/router/cell.go
@@ -55,16 +55,16 @@
 func (r *Router) learn(claim Claim) {
 	r.generation = max(r.generation, generationOf(claim.Token))
 	c := r.cell(claim.Zone)
-	c.row = max(c.row, claim.Row)
-	claim.Row = 0
+	c.row = max(c.row, claim.RowVersion)
+	claim.RowVersion = 0
 	if claim.Token <= c.claim.Token {
 		return
 	}
-	if claim.Holder.Address == r.Self.Address && claim.Holder.Life == r.Self.Life {
+	if claim.Holder.Address == r.Self.Address && claim.Holder.Incarnation == r.Self.Incarnation {
 		r.confirm(c, claim.Token)
 		return
 	}
-	r.emit(Decide{Action: "holder", Pairs: []any{"zone", c.zone, "holder", claim.Holder.Name, "token", claim.Token, "before", c.claim.Holder.Name}})
+	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "holder", claim.Holder.Name, "token", claim.Token, "before", c.claim.Holder.Name}})
 	c.claim, c.fenced, c.backoff, c.learned = claim, false, 0, r.now
 	r.reclaimed = r.now
 	c.absent, c.rivals = time.Time{}, time.Time{}
@@ -94,7 +94,7 @@
 		return &r.Self
 	}
 	p := r.peers[c.claim.Holder.Address]
-	if c.fenced || p == nil || p.member.Life != c.claim.Holder.Life || !r.reaches(p) {
+	if c.fenced || p == nil || p.member.Incarnation != c.claim.Holder.Incarnation || !r.reaches(p) {
 		return nil
 	}
 	return &c.claim.Holder
@@ -117,7 +117,7 @@
 			c.absent = r.now
 			r.beaten = time.Time{} // more hosts have to be heard of now
 			if c.claim.Token > 0 {
-				r.emit(Decide{Action: "holder", Pairs: []any{"zone", zone, "holder", c.claim.Holder.Name, "state", "lost", "leaving", h != nil}})
+				r.emit(Decision{Action: "holder", Pairs: []any{"zone", zone, "holder", c.claim.Holder.Name, "state", "lost", "leaving", h != nil}})
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 	c.mine, c.acquired, c.fenced = true, r.now, false
 	r.reclaimed = r.now
 	c.absent, c.rivals = time.Time{}, time.Time{}
-	r.emit(Decide{Action: "holder", Pairs: []any{"zone", c.zone, "holder", r.Self.Name, "token", token}})
+	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "holder", r.Self.Name, "token", token}})
 	r.syncTargets()
 	r.reoffer()
 }
@@ -150,7 +150,7 @@
 // lose gives up a cell that another host has claimed, or that targets refuse.
 func (r *Router) lose(c *cell) {
 	c.mine = false
-	r.emit(Decide{Action: "holder", Pairs: []any{"zone", c.zone, "state", "given up", "held", r.since(c.acquired)}})
+	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "state", "given up", "held", r.since(c.acquired)}})
 	for _, id := range sortedKeys(r.targets) {
 		if t := r.targets[id]; t.Zone == c.zone {
 			r.leave(t)
@@ -185,10 +185,10 @@
 }
 
 // enrol takes this host's slot and what else the store has.
-func (r *Router) enrol(e Enrol) {
+func (r *Router) enrol(e Registered) {
 	if e.Slot > 0 && r.Self.Slot == 0 {
-		r.Self.Slot, r.life = e.Slot, e.Life
-		r.emit(Decide{Action: "enrol", Pairs: []any{"slot", e.Slot, "life", e.Life, "members", len(e.Members)}})
+		r.Self.Slot, r.life = e.Slot, e.SlotUses
+		r.emit(Decision{Action: "enrol", Pairs: []any{"slot", e.Slot, "life", e.SlotUses, "members", len(e.Members)}})
 	}
 	for _, m := range e.Members {
 		r.addPeer(m)
--- a/internal/router/check.go
+++ b/internal/router/check.go
@@ -29,8 +29,8 @@
 	switch {
 	case m.Offer != nil:
 		return m.Offer.check()
-	case m.Beat != nil:
-		return m.Beat.check()
+	case m.Heartbeat != nil:
+		return m.Heartbeat.check()
 	}
 	return nil
 }
@@ -46,13 +46,13 @@
 		return &MalformedError{"a task's need", fmt.Sprint(j.Need)}
 	case !finite(j.Stretch):
 		return &MalformedError{"the stretch", fmt.Sprint(j.Stretch)}
-	case o.Base < 0:
-		return &MalformedError{"the base of run numbers", fmt.Sprint(o.Base)}
+	case o.RunBase < 0:
+		return &MalformedError{"the base of run numbers", fmt.Sprint(o.RunBase)}
 	}
 	return nil
 }
 
-func (b *Beat) check() error {
+func (b *Heartbeat) check() error {
 	if b.Generation >= maxGeneration {
 		return &MalformedError{"the generation", fmt.Sprint(b.Generation)}
 	}
@@ -61,11 +61,11 @@
 			return &MalformedError{"a claim's token", fmt.Sprint(c.Token)}
 		}
 	}
-	return checkLessons(b.Lessons, b.Speeds)
+	return checkLessons(b.Routes, b.Speeds)
 }
 
 // checkLessons checks what another host has learned.
-func checkLessons(lessons []Lesson, speeds []Speed) error {
+func checkLessons(lessons []RouteStats, speeds []KindSpeed) error {
 	for _, l := range lessons {
 		if l.Count < 0 || l.Timeouts < 0 || l.VarTimeout < 0 || !finite(l.MeanX, l.MeanY, l.VarX, l.CovXY, l.MeanTimeout, l.VarTimeout) {
 			return &MalformedError{"what was learned of a route", fmt.Sprint(l)}
--- a/internal/router/check_test.go
+++ b/internal/router/check_test.go
@@ -13,22 +13,22 @@
 // malformed are messages that no host of this version sends.
 func malformed() map[string]Message {
 	offer := func(change func(*Offer)) Message {
-		o := &Offer{Job: pair("bad"), Left: time.Second, Stamp: 1}
+		o := &Offer{Job: pair("bad"), TimeLeft: time.Second, SubmissionID: 1}
 		change(o)
 		return Message{Offer: o}
 	}
-	member := Member{Name: "n", Zone: "north", Address: "10.0.0.9:1", Life: 5, Slot: 9}
+	member := Member{Name: "n", Zone: "north", Address: "10.0.0.9:1", Incarnation: 5, Slot: 9}
 	return map[string]Message{
 		"no id":          offer(func(o *Offer) { o.Job.ID = "" }),
 		"negative count": offer(func(o *Offer) { o.Job.Count = -1 }),
 		"huge count":     offer(func(o *Offer) { o.Job.Count = math.MaxInt64 }),
 		"negative need":  offer(func(o *Offer) { o.Job.Need.CPU = -1 }),
 		"stretch":        offer(func(o *Offer) { o.Job.Stretch = math.NaN() }),
-		"negative base":  offer(func(o *Offer) { o.Base = -1 }),
-		"generation":     {Beat: &Beat{Member: member, Generation: math.MaxUint64}},
-		"token":          {Beat: &Beat{Member: member, Claims: []Claim{{Zone: "north", Token: math.MaxUint64}}}},
-		"lesson":         {Beat: &Beat{Member: member, Lessons: []Lesson{{Route: "r", Count: 9, MeanX: math.NaN()}}}},
-		"speed":          {Beat: &Beat{Member: member, Speeds: []Speed{{Kind: "a", Count: 9, Log: math.Inf(1)}}}},
+		"negative base":  offer(func(o *Offer) { o.RunBase = -1 }),
+		"generation":     {Heartbeat: &Heartbeat{Member: member, Generation: math.MaxUint64}},
+		"token":          {Heartbeat: &Heartbeat{Member: member, Claims: []Claim{{Zone: "north", Token: math.MaxUint64}}}},
+		"lesson":         {Heartbeat: &Heartbeat{Member: member, Routes: []RouteStats{{Route: "r", Count: 9, MeanX: math.NaN()}}}},
+		"speed":          {Heartbeat: &Heartbeat{Member: member, Speeds: []KindSpeed{{Kind: "a", Count: 9, Log: math.Inf(1)}}}},
 	}
 }
 
@@ -39,17 +39,17 @@
 	for name, m := range malformed() {
 		var want *MalformedError
 		require.ErrorAs(t, m.Check(), &want, name)
-		b := newHolderBed(t, 2, Won)
+		b := newHolderBed(t, 2, ClaimWon)
 		b.neighbour(from)
 		generation := b.router.generation
 		assert.NotPanics(t, func() {
 			effects := b.step(Receive{From: from, Message: m})
 			assert.Empty(t, only[Start](effects), name)
-			assert.NotEmpty(t, only[Decide](effects), name)
+			assert.NotEmpty(t, only[Decision](effects), name)
 		}, name)
 		assert.Equal(t, generation, b.router.generation, name)
 		_, effects := b.begin("sound", Running)
-		assert.Empty(t, only[Violate](effects), name)
+		assert.Empty(t, only[Violation](effects), name)
 	}
 }
 
@@ -61,7 +61,7 @@
 		require.NoError(f, err)
 		f.Add(data)
 	}
-	for _, m := range []Message{{Withdraw: &Withdraw{ID: "x"}}, {Verdict: &Verdict{ID: "x"}}, {Progress: &Progress{Marks: []Mark{{ID: "x", Task: -1}}}}} {
+	for _, m := range []Message{{Withdraw: &Withdraw{ID: "x"}}, {Verdict: &Verdict{ID: "x"}}, {Progress: &Progress{Tasks: []DoneTask{{ID: "x", Task: -1}}}}} {
 		data, err := cbor.Marshal(m)
 		require.NoError(f, err)
 		f.Add(data)
@@ -71,11 +71,11 @@
 		if cbor.Unmarshal(data, &m) != nil {
 			return
 		}
-		b := newHolderBed(t, 2, Won)
+		b := newHolderBed(t, 2, ClaimWon)
 		b.neighbour("10.0.0.9:1")
 		effects := b.step(Receive{From: "10.0.0.9:1", Message: m})
 		effects = append(effects, b.pass(100*time.Millisecond)...)
 		effects = append(effects, b.step(Submit{Request: 1, Job: pair("sound"), Budget: time.Second})...)
-		assert.Empty(t, only[Violate](effects))
+		assert.Empty(t, only[Violation](effects))
 	})
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -48,11 +48,11 @@
 // updateSplit decides whether each zone should have a holder of its own, because no one
 // host can carry all targets with its processor and half of its link.
 func (r *Router) updateSplit() {
-	r.link = max(r.link, r.Self.Link)
+	r.link = max(r.link, r.Self.LinkRate)
 	for _, p := range r.peers {
-		r.link = max(r.link, p.member.Link)
+		r.link = max(r.link, p.member.LinkRate)
 	}
-	r.split = r.total > r.Bounds.Split || r.link > 0 && r.total > r.link/(2*targetTraffic)
+	r.split = r.total > r.Bounds.MaxSharedTargets || r.link > 0 && r.total > r.link/(2*targetTraffic)
 }
 
 // countTargets takes the number of targets in some version of the platform's list.
@@ -90,11 +90,11 @@
 func (r *Router) settleTime() time.Duration {
 	for _, c := range r.cells {
 		if c.claim.Token == 0 || r.mayReturn(c) {
-			return r.Bounds.Settle
+			return r.Bounds.StartupDelay
 		}
 	}
 	if r.isMuchWeaker() {
-		return r.Bounds.Settle / 4
+		return r.Bounds.StartupDelay / 4
 	}
 	return 0
 }
@@ -120,7 +120,7 @@
 		return false
 	}
 	if !c.absent.IsZero() {
-		return r.now.Sub(c.absent) >= time.Duration(rank)*r.Bounds.Stagger
+		return r.now.Sub(c.absent) >= time.Duration(rank)*r.Bounds.ClaimStagger
 	}
 	return r.shouldMerge(c, list)
 }
@@ -132,7 +132,7 @@
 		return false
 	}
 	for _, p := range r.peers {
-		if r.related(p.member.Zone) && !p.near || p.near && p.met && !r.isSettled(p) && r.now.Sub(p.echoed) > r.Bounds.Silence {
+		if r.related(p.member.Zone) && !p.near || p.near && p.met && !r.isSettled(p) && r.now.Sub(p.echoed) > r.Bounds.PeerTimeout {
 			return false
 		}
 	}
@@ -141,22 +141,22 @@
 
 // weak reports whether a host has less than half the processor share of the best,
 // so that a cell is worth moving.
-func weak(m, best Member) bool { return 2*m.Power < best.Power }
+func weak(m, best Member) bool { return 2*m.CPUShare < best.CPUShare }
 
 // mayReturn reports whether the holder of a cell was heard of so lately that it may
 // only not be in touch yet. One that is known to leave or to be dead is not
 // waited for.
 func (r *Router) mayReturn(c *cell) bool {
 	h := c.claim.Holder
-	wait := r.Bounds.Silence
-	if c.learned.Sub(r.started) < r.Bounds.Settle && r.isHolderless() {
+	wait := r.Bounds.PeerTimeout
+	if c.learned.Sub(r.started) < r.Bounds.StartupDelay && r.isHolderless() {
 		wait /= 4 // a living holder would have answered one of them by now
 	}
 	if r.now.Sub(c.learned) >= wait || r.isLeaving(h) || h.Address == r.Self.Address {
 		return false
 	}
 	p := r.peers[h.Address]
-	return p == nil || !p.met || p.member.Life <= h.Life
+	return p == nil || !p.met || p.member.Incarnation <= h.Incarnation
 }
 
 // isHolderless reports whether this host reaches others, none of which reaches a holder.
@@ -203,7 +203,7 @@
 		c.rivals = r.now
 	}
 	p := r.peers[c.claim.Holder.Address]
-	return p != nil && r.now.Sub(c.rivals) >= r.Bounds.Merge && r.now.Sub(p.since) >= r.Bounds.Merge
+	return p != nil && r.now.Sub(c.rivals) >= r.Bounds.MergeDelay && r.now.Sub(p.since) >= r.Bounds.MergeDelay
 }
 
 // heldBy returns how many cells a member holds.
@@ -220,7 +220,7 @@
 // isOrphaned reports whether a cell has lacked a holder for so long that no other
 // host seems able to claim it. Then the store decides alone.
 func (r *Router) isOrphaned(c *cell) bool {
-	return !c.absent.IsZero() && r.now.Sub(c.absent) >= 3*r.Bounds.Silence
+	return !c.absent.IsZero() && r.now.Sub(c.absent) >= 3*r.Bounds.PeerTimeout
 }
 
 // hasMajority reports whether this host is on the side of a cut that should
@@ -269,15 +269,15 @@
 	r.generation++
 	token := r.token(r.generation)
 	r.claiming = &pendingClaim{token: token, zones: zones, since: r.now}
-	rows := make([]Stored, len(zones))
+	rows := make([]StoredClaim, len(zones))
 	for i, zone := range zones {
 		c := r.cells[zone]
-		rows[i] = Stored{Claim: Claim{Zone: zone, Token: token, Holder: r.Self}, Version: c.row}
-		r.emit(Decide{Action: "claim", Pairs: []any{
+		rows[i] = StoredClaim{Claim: Claim{Zone: zone, Token: token, Holder: r.Self}, Version: c.row}
+		r.emit(Decision{Action: "claim", Pairs: []any{
 			"zone", zone, "token", token, "before", c.claim.Holder.Name, "absent", r.since(c.absent), "members", len(r.candidates(zone)),
 		}})
 	}
-	r.emit(Stake{Token: token, Rows: rows})
+	r.emit(WriteClaims{Token: token, Rows: rows})
 }
 
 // since returns the age of a moment for the log, or "" for none.
@@ -292,17 +292,17 @@
 // the highest token, so two hosts that do so cannot both start tasks on one.
 func (r *Router) expireClaim() {
 	age := r.now.Sub(r.claiming.since)
-	if age < claimTimeout || age < r.Bounds.Silence && r.hasStalePeer() {
+	if age < claimTimeout || age < r.Bounds.PeerTimeout && r.hasStalePeer() {
 		return
 	}
-	r.claimed(Claimed{Token: r.claiming.token, Result: Silent})
+	r.claimed(ClaimsWritten{Token: r.claiming.token, Result: ClaimTimeout})
 }
 
 // hasStalePeer reports whether a peer has been heard of too long ago to tell whether it is
 // on this host's side of a cut: two and a half heartbeats.
 func (r *Router) hasStalePeer() bool {
 	for _, p := range r.peers {
-		if p.near && r.reaches(p) && r.now.Sub(p.echoed) > r.Bounds.Silence/2 {
+		if p.near && r.reaches(p) && r.now.Sub(p.echoed) > r.Bounds.PeerTimeout/2 {
 			return true
 		}
 	}
@@ -310,48 +310,48 @@
 }
 
 // claimed ends a claim.
-func (r *Router) claimed(e Claimed) {
+func (r *Router) claimed(e ClaimsWritten) {
 	news := r.learnRows(e)
 	p := r.claiming
 	if p == nil || p.token != e.Token {
 		return
 	}
 	r.claiming = nil
-	r.emit(Decide{Action: "claimed", Pairs: []any{"token", p.token, "result", e.Result, "age", r.since(p.since)}})
+	r.emit(Decision{Action: "claimed", Pairs: []any{"token", p.token, "result", e.Result, "age", r.since(p.since)}})
 	switch {
-	case e.Result == Beaten && news:
+	case e.Result == ClaimConflict && news:
 		r.postpone(p.zones)
 		return
-	case e.Result == Beaten:
+	case e.Result == ClaimConflict:
 		return // only the versions of the rows were not known; the next tick claims again
 	}
 	for _, zone := range p.zones {
-		if e.Result == Silent && !r.hasMajority(zone) {
+		if e.Result == ClaimTimeout && !r.hasMajority(zone) {
 			r.postpone([]string{zone})
 		} else if c := r.cells[zone]; c.claim.Token < p.token {
-			c.unwritten = e.Result == Silent
+			c.unwritten = e.Result == ClaimTimeout
 			r.acquire(c, p.token)
 		}
 	}
 	r.beatNow()
 	r.asked = r.now
-	r.emit(Read{})
+	r.emit(ReadDirectory{})
 }
 
 // learnRows takes what the store has of claims, and reports whether that is newer than
 // what was known.
-func (r *Router) learnRows(e Claimed) (news bool) {
+func (r *Router) learnRows(e ClaimsWritten) (news bool) {
 	awaited := r.claiming != nil && r.claiming.token == e.Token
 	for _, row := range e.Rows {
 		c := r.cell(row.Claim.Zone)
-		if e.Result == Beaten {
+		if e.Result == ClaimConflict {
 			c.row = row.Version // as the store has it, whatever heartbeats have told
 		}
 		c.row = max(c.row, row.Version)
-		if e.Result == Won && row.Claim.Token == c.claim.Token {
+		if e.Result == ClaimWon && row.Claim.Token == c.claim.Token {
 			c.unwritten = false
 		}
-		if row.Claim.Token > c.claim.Token && (e.Result != Won || !awaited) {
+		if row.Claim.Token > c.claim.Token && (e.Result != ClaimWon || !awaited) {
 			news = true
 			r.learn(row.Claim)
 		}
@@ -363,7 +363,7 @@
 func (r *Router) postpone(zones []string) {
 	for _, zone := range zones {
 		c := r.cells[zone]
-		c.backoff = min(max(2*c.backoff, r.Bounds.Backoff), maxBackoff*r.Bounds.Backoff)
+		c.backoff = min(max(2*c.backoff, r.Bounds.ClaimBackoff), maxBackoff*r.Bounds.ClaimBackoff)
 		c.retry = r.now.Add(c.backoff)
 	}
 }
@@ -377,6 +377,6 @@
 			continue
 		}
 		c.published = r.now
-		r.emit(Stake{Token: c.claim.Token, Rows: []Stored{{Claim: c.claim, Version: c.row}}})
+		r.emit(WriteClaims{Token: c.claim.Token, Rows: []StoredClaim{{Claim: c.claim, Version: c.row}}})
 	}
 }
--- a/internal/router/claim_test.go
+++ b/internal/router/claim_test.go
@@ -21,12 +21,12 @@
 func newSides(t *testing.T, names ...string) *sides {
 	t.Helper()
 	b := &sides{bed: &bed{now: time.Unix(origin, 0)}, peers: make(map[string]Member)}
-	b.router = &Router{Self: Member{Name: "n1", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
+	b.router = &Router{Self: Member{Name: "n1", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	b.step(Tick{})
-	b.step(Enrol{Slot: 9, Life: 1})
+	b.step(Registered{Slot: 9, SlotUses: 1})
 	zones := map[byte]string{'n': "north", 's': "south", 'w': "west"}
 	for i, name := range names {
-		b.peers[name] = Member{Name: name, Zone: zones[name[0]], Address: fmt.Sprintf("10.0.1.%d:1", i), Life: 1, Slot: 10 + i}
+		b.peers[name] = Member{Name: name, Zone: zones[name[0]], Address: fmt.Sprintf("10.0.1.%d:1", i), Incarnation: 1, Slot: 10 + i}
 	}
 	for _, zone := range zones {
 		b.router.learn(Claim{Zone: zone, Token: 1<<(slotBits+lifeBits) | 1, Holder: b.peers["s1"]})
@@ -40,7 +40,7 @@
 func (b *sides) beat(leaving bool, names ...string) {
 	for _, name := range names {
 		m := b.peers[name]
-		b.step(Receive{From: m.Address, Message: Message{Beat: &Beat{Member: m, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), Leaving: leaving}}})
+		b.step(Receive{From: m.Address, Message: Message{Heartbeat: &Heartbeat{Member: m, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), Leaving: leaving}}})
 	}
 }
 
@@ -48,7 +48,7 @@
 func (b *sides) touch(span time.Duration, names ...string) []Effect {
 	var all []Effect
 	for end := b.now.Add(span); b.now.Before(end); {
-		b.now = b.now.Add(b.router.Bounds.Tick)
+		b.now = b.now.Add(b.router.Bounds.TickInterval)
 		b.beat(false, names...)
 		all = append(all, b.step(Tick{})...)
 	}
@@ -71,16 +71,16 @@
 func TestClaimOfCutSide(t *testing.T) {
 	b := newSides(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.touch(80*time.Millisecond, "n2", "n3", "s2", "w1", "w2") // the holder is heard of first to fall silent
-	require.NotEmpty(t, only[Stake](b.touch(b.router.Bounds.Silence, "n2", "n3")))
-	b.touch(b.router.Bounds.Silence, "n2", "n3")
+	require.NotEmpty(t, only[WriteClaims](b.touch(b.router.Bounds.PeerTimeout, "n2", "n3")))
+	b.touch(b.router.Bounds.PeerTimeout, "n2", "n3")
 	assert.Equal(t, []string{"north"}, b.held())
 }
 
 // TestClaimOfLargerSide: a host with most others goes on without the store.
 func TestClaimOfLargerSide(t *testing.T) {
 	b := newSides(t, "n2", "n3", "s1", "s2", "w1", "w2")
-	b.touch(b.router.Bounds.Silence+b.router.Bounds.Tick+claimTimeout, "n2", "n3", "s2", "w1", "w2")
-	b.touch(2*b.router.Bounds.Tick, "n2", "n3", "s2", "w1", "w2")
+	b.touch(b.router.Bounds.PeerTimeout+b.router.Bounds.TickInterval+claimTimeout, "n2", "n3", "s2", "w1", "w2")
+	b.touch(2*b.router.Bounds.TickInterval, "n2", "n3", "s2", "w1", "w2")
 	assert.Equal(t, []string{"north", "south", "west"}, b.held())
 }
 
@@ -90,7 +90,7 @@
 	b := newSides(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.beat(true, "s2", "w2")
 	b.touch(time.Second, "n2", "n3", "s1", "w1")
-	b.touch(2*b.router.Bounds.Silence, "n2", "n3")
+	b.touch(2*b.router.Bounds.PeerTimeout, "n2", "n3")
 	assert.Equal(t, []string{"north"}, b.held())
 }
 
@@ -99,7 +99,7 @@
 	b := newSides(t, "n2", "s1", "s2")
 	b.beat(true, "s2")
 	b.touch(time.Second, "n2", "s1")
-	b.touch(2*b.router.Bounds.Silence, "n2")
+	b.touch(2*b.router.Bounds.PeerTimeout, "n2")
 	assert.Equal(t, []string{"north", "south", "west"}, b.held())
 }
 
@@ -112,7 +112,7 @@
 			b.router.acquire(b.router.cell(zone), 2<<(slotBits+lifeBits)|99)
 		}
 		claimed := false
-		for _, e := range only[Stake](b.touch(b.router.Bounds.Merge+100*time.Millisecond, "s1")) {
+		for _, e := range only[WriteClaims](b.touch(b.router.Bounds.MergeDelay+100*time.Millisecond, "s1")) {
 			claimed = claimed || e.Rows[0].Claim.Zone == "south"
 		}
 		assert.Equal(t, moves, claimed, own)
@@ -122,11 +122,11 @@
 // TestProofAfterOffer: that a target obeyed this host before a job came from another
 // holder does not prove that the other has not used it since.
 func TestProofAfterOffer(t *testing.T) {
-	b := newHolderBed(t, 2, Won)
+	b := newHolderBed(t, 2, ClaimWon)
 	b.now = b.now.Add(10 * time.Millisecond)
-	offer := &Offer{Job: pair("j"), Left: 5 * time.Second, Resent: true, Zones: []string{"north"}, Base: runStride}
-	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Life: 1, Slot: 1}
-	b.step(Receive{From: peer.Address, Message: Message{Beat: &Beat{Member: peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
+	offer := &Offer{Job: pair("j"), TimeLeft: 5 * time.Second, Reoffered: true, PreviousZones: []string{"north"}, RunBase: runStride}
+	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
+	b.step(Receive{From: peer.Address, Message: Message{Heartbeat: &Heartbeat{Member: peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
 	effects := b.step(Receive{From: peer.Address, Message: Message{Offer: offer}})
 	assert.Empty(t, only[Start](effects))
 	looks := only[Renew](effects)
@@ -139,13 +139,13 @@
 // TestLaterCell: a job is not started in a cell that was taken after the job came. The
 // host of the job does not count that cell when another holder takes over.
 func TestLaterCell(t *testing.T) {
-	b := newHolderBed(t, 1, Won) // room for two tasks
+	b := newHolderBed(t, 1, ClaimWon) // room for two tasks
 	wide := pair("wide")
 	wide.Count, wide.Allowance = 3, 2*time.Second
 	require.Len(t, only[Start](b.step(Submit{Request: 1, Job: wide, Budget: 5 * time.Second})), 2)
 	b.now = b.now.Add(10 * time.Millisecond)
-	list := append(entries(1), Target{ID: "z", Address: "10.1.0.2:1", Service: "work", Zone: "south", Room: Room{CPU: 2000, Memory: 10}, Labels: []string{"a"}})
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 2, Targets: list}})
+	list := append(entries(1), Target{ID: "z", Address: "10.1.0.2:1", Service: "work", Zone: "south", Capacity: Resources{CPU: 2000, Memory: 10}, Labels: []string{"a"}})
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 2, Targets: list}})
 	b.router.acquire(b.router.cell("south"), b.router.token(9))
 	var renews []Renew
 	for _, e := range only[Renew](b.router.effects) {
@@ -166,14 +166,14 @@
 // TestTakenOverJobGoesOn: a job whose tasks all run is not given up while it is not
 // known what else an earlier holder may have started.
 func TestTakenOverJobGoesOn(t *testing.T) {
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	b.router.former["gone"] = &sighting{target: Target{ID: "gone", Zone: "north"}, told: b.now}
-	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Life: 1, Slot: 1}
-	b.step(Receive{From: peer.Address, Message: Message{Beat: &Beat{Member: peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
-	b.step(Receive{From: peer.Address, Message: Message{Offer: &Offer{Job: pair("j"), Left: 5 * time.Second, Resent: true, Zones: []string{"north"}, Base: runStride}}})
+	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
+	b.step(Receive{From: peer.Address, Message: Message{Heartbeat: &Heartbeat{Member: peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
+	b.step(Receive{From: peer.Address, Message: Message{Offer: &Offer{Job: pair("j"), TimeLeft: 5 * time.Second, Reoffered: true, PreviousZones: []string{"north"}, RunBase: runStride}}})
 	held := b.router.targets["p"]
-	effects := b.answer(Renew{Target: held.Target, Token: held.token}, Live{Task: "j.0.0.0", Run: 1}, Live{Task: "j.0.0.1", Run: 1})
-	effects = append(effects, b.pass(b.router.Bounds.Orphan+100*time.Millisecond)...)
+	effects := b.answer(Renew{Target: held.Target, Token: held.token}, RunningTask{Task: "j.0.0.0", Run: 1}, RunningTask{Task: "j.0.0.1", Run: 1})
+	effects = append(effects, b.pass(b.router.Bounds.OrphanGrace+100*time.Millisecond)...)
 	for _, e := range only[Send](effects) {
 		assert.Nil(t, e.Message.Verdict)
 	}
@@ -203,8 +203,8 @@
 func TestLateClaim(t *testing.T) {
 	for _, way := range []string{"answer", "heartbeat"} {
 		b := newSides(t, "n2", "n3", "s1", "s2", "s3", "w1", "w2")
-		var lost Stake
-		for _, stake := range only[Stake](b.touch(2*time.Second, "n2", "n3")) {
+		var lost WriteClaims
+		for _, stake := range only[WriteClaims](b.touch(2*time.Second, "n2", "n3")) {
 			for _, row := range stake.Rows {
 				if row.Claim.Zone == "south" {
 					lost = stake
@@ -215,11 +215,11 @@
 		b.touch(time.Second, "n2", "n3")
 		require.NotContains(t, b.held(), "south")
 		if way == "answer" {
-			b.step(Claimed{Token: lost.Token, Result: Won, Rows: lost.Rows})
+			b.step(ClaimsWritten{Token: lost.Token, Result: ClaimWon, Rows: lost.Rows})
 		} else {
 			m := b.peers["s2"]
 			claims := []Claim{{Zone: "south", Token: lost.Token, Holder: b.router.Self}}
-			b.step(Receive{From: m.Address, Message: Message{Beat: &Beat{Member: m, Sent: b.now.UnixNano(), Claims: claims}}})
+			b.step(Receive{From: m.Address, Message: Message{Heartbeat: &Heartbeat{Member: m, Sent: b.now.UnixNano(), Claims: claims}}})
 		}
 		assert.Contains(t, b.held(), "south", way)
 	}
@@ -230,26 +230,26 @@
 // third host is known from the store only.
 func restarted(power int) *bed {
 	b := &bed{now: time.Unix(origin, 0)}
-	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 2, Power: 100}, Bounds: Standard()}
+	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 2, CPUShare: 100}, Bounds: Standard()}
 	b.step(Tick{})
-	b.now = b.now.Add(2 * b.router.Bounds.Tick)
-	holder := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Life: 1, Slot: 1, Power: 100}
-	third := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Life: 1, Slot: 3, Power: power}
+	b.now = b.now.Add(2 * b.router.Bounds.TickInterval)
+	holder := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1, CPUShare: 100}
+	third := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3, CPUShare: power}
 	claim := Claim{Zone: "north", Token: 1 << (slotBits + lifeBits), Holder: holder}
-	b.step(Enrol{Slot: 2, Life: 2, Members: []Member{holder, third}, Claims: []Stored{{Claim: claim, Version: 7}}})
-	holder.Life, holder.Slot = 2, 0 // it is not registered yet
-	b.step(Receive{From: holder.Address, Message: Message{Beat: &Beat{Member: holder, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
+	b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{holder, third}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
+	holder.Incarnation, holder.Slot = 2, 0 // it is not registered yet
+	b.step(Receive{From: holder.Address, Message: Message{Heartbeat: &Heartbeat{Member: holder, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
 	return b
 }
 
 // TestClaimAfterRestartOfAll: a host that knows the last holder to be dead claims at once,
 // unless a much stronger one may have started as well.
 func TestClaimAfterRestartOfAll(t *testing.T) {
-	tick := Standard().Tick
-	for power, want := range map[int]time.Duration{100: tick, 300: Standard().Settle/4 - 2*tick} {
+	tick := Standard().TickInterval
+	for power, want := range map[int]time.Duration{100: tick, 300: Standard().StartupDelay/4 - 2*tick} {
 		b := restarted(power)
 		span := time.Duration(0)
-		for len(only[Stake](b.last)) == 0 && span < time.Second {
+		for len(only[WriteClaims](b.last)) == 0 && span < time.Second {
 			span += tick
 			b.now = b.now.Add(tick)
 			b.step(Tick{})
@@ -263,37 +263,37 @@
 func TestClaimKnowsRows(t *testing.T) {
 	b := newSides(t, "n2", "s1")
 	for _, zone := range []string{"north", "south", "west"} {
-		claim := Claim{Zone: zone, Token: 1<<(slotBits+lifeBits) | 1, Holder: b.peers["s1"], Row: 42}
-		b.step(Receive{From: b.peers["s1"].Address, Message: Message{Beat: &Beat{Member: b.peers["s1"], Sent: b.now.UnixNano(), Claims: []Claim{claim}}}})
+		claim := Claim{Zone: zone, Token: 1<<(slotBits+lifeBits) | 1, Holder: b.peers["s1"], RowVersion: 42}
+		b.step(Receive{From: b.peers["s1"].Address, Message: Message{Heartbeat: &Heartbeat{Member: b.peers["s1"], Sent: b.now.UnixNano(), Claims: []Claim{claim}}}})
 	}
-	stakes := only[Stake](b.touch(2*b.router.Bounds.Silence, "n2"))
+	stakes := only[WriteClaims](b.touch(2*b.router.Bounds.PeerTimeout, "n2"))
 	require.NotEmpty(t, stakes)
 	for _, row := range stakes[0].Rows {
 		assert.EqualValues(t, 42, row.Version, row.Claim.Zone)
-		assert.Zero(t, row.Claim.Row)
+		assert.Zero(t, row.Claim.RowVersion)
 	}
 }
 
 // TestHolderTellsRows: a holder's heartbeats name the versions that its claim was given.
 func TestHolderTellsRows(t *testing.T) {
 	b := newSides(t, "n2", "s1")
-	var stakes []Stake
+	var stakes []WriteClaims
 	for len(stakes) == 0 {
-		stakes = only[Stake](b.touch(b.router.Bounds.Tick, "n2"))
+		stakes = only[WriteClaims](b.touch(b.router.Bounds.TickInterval, "n2"))
 	}
 	rows := stakes[0].Rows
 	for i := range rows {
 		rows[i].Version = 43
 	}
-	b.step(Claimed{Token: stakes[0].Token, Result: Won, Rows: rows})
+	b.step(ClaimsWritten{Token: stakes[0].Token, Result: ClaimWon, Rows: rows})
 	require.Len(t, b.held(), 3)
 	told := 0
 	for _, send := range only[Send](b.touch(time.Second, "n2")) {
-		if send.Message.Beat == nil {
+		if send.Message.Heartbeat == nil {
 			continue
 		}
-		for _, claim := range send.Message.Beat.Claims {
-			assert.EqualValues(t, 43, claim.Row)
+		for _, claim := range send.Message.Heartbeat.Claims {
+			assert.EqualValues(t, 43, claim.RowVersion)
 			told++
 		}
 	}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -28,28 +28,28 @@
 	Stretch   float64       `cbor:"7,keyasint"`
 	// Priority orders routes; 0 is the most urgent.
 	Priority int `cbor:"8,keyasint"`
-	// Attempts bounds the failed runs of a task.
-	Attempts int `cbor:"9,keyasint"`
-	// Advised tells that only an external service knows which targets may be
+	// MaxAttempts bounds the failed runs of a task.
+	MaxAttempts int `cbor:"9,keyasint"`
+	// ExternallyPlaced tells that only an external service knows which targets may be
 	// used.
-	Advised bool `cbor:"10,keyasint,omitempty"`
+	ExternallyPlaced bool `cbor:"10,keyasint,omitempty"`
 }
 
 // Service is a pool of targets.
 type Service struct {
 	Name string `cbor:"1,keyasint"`
-	// Connections bounds the open connections to one target.
-	Connections int `cbor:"2,keyasint"`
-	// Guarded tells that targets refuse tasks that do not fit.
-	Guarded bool `cbor:"3,keyasint"`
+	// MaxConnections bounds the open connections to one target.
+	MaxConnections int `cbor:"2,keyasint"`
+	// ChecksCapacity tells that targets refuse tasks that do not fit.
+	ChecksCapacity bool `cbor:"3,keyasint"`
 }
 
 // Limits bound what clients send.
 type Limits struct {
-	Header int           `cbor:"1,keyasint"` // bytes
-	Body   int           `cbor:"2,keyasint"` // bytes
-	Read   time.Duration `cbor:"3,keyasint"` // for a request's header
-	Idle   time.Duration `cbor:"4,keyasint"` // between two requests
+	MaxHeader   int           `cbor:"1,keyasint"` // bytes
+	MaxBody     int           `cbor:"2,keyasint"` // bytes
+	ReadTimeout time.Duration `cbor:"3,keyasint"` // for a request's header
+	IdleTimeout time.Duration `cbor:"4,keyasint"` // between two requests
 }
 
 // Match returns the route of a request: that of its host name with the longest
@@ -78,29 +78,29 @@
 	Zone    string `cbor:"4,keyasint"`
 	// Draining tells that the target takes no new tasks and is about to leave.
 	Draining bool `cbor:"5,keyasint,omitempty"`
-	// Room is what the target offers its tasks.
-	Room Room `cbor:"6,keyasint"`
+	// Capacity is what the target offers its tasks.
+	Capacity Resources `cbor:"6,keyasint"`
 	// Labels are the target's kind and its rack.
 	Labels []string `cbor:"7,keyasint,omitempty"`
-	// Born is the time of the target's start in Unix milliseconds, or 0.
-	Born int64 `cbor:"8,keyasint,omitempty"`
+	// StartedAt is the time of the target's start in Unix milliseconds, or 0.
+	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Room is an amount of processor, memory and accelerators.
-type Room struct {
+// Resources is an amount of processor, memory and accelerators.
+type Resources struct {
 	CPU    int `cbor:"1,keyasint" json:"cpu"`    // thousandths of a core
 	Memory int `cbor:"2,keyasint" json:"memory"` // MB
 	GPU    int `cbor:"3,keyasint,omitempty" json:"gpu,omitempty"`
 }
 
 // Fits reports whether need fits into r.
-func (r Room) Fits(need Room) bool {
+func (r Resources) Fits(need Resources) bool {
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
-// Less returns r without the part.
-func (r Room) Less(part Room) Room {
-	return Room{CPU: r.CPU - part.CPU, Memory: r.Memory - part.Memory, GPU: r.GPU - part.GPU}
+// Minus returns r without the part.
+func (r Resources) Minus(part Resources) Resources {
+	return Resources{CPU: r.CPU - part.CPU, Memory: r.Memory - part.Memory, GPU: r.GPU - part.GPU}
 }
 
 // Directory is the platform's list of targets as of one version.
@@ -119,6 +119,6 @@
 func (d Directory) same(other Directory) bool {
 	return d.total() == other.total() && slices.EqualFunc(d.Targets, other.Targets, func(a, b Target) bool {
 		return a.ID == b.ID && a.Address == b.Address && a.Service == b.Service && a.Zone == b.Zone &&
-			a.Draining == b.Draining && a.Room == b.Room && a.Born == b.Born && slices.Equal(a.Labels, b.Labels)
+			a.Draining == b.Draining && a.Capacity == b.Capacity && a.StartedAt == b.StartedAt && slices.Equal(a.Labels, b.Labels)
 	})
 }
--- a/internal/router/copy_test.go
+++ b/internal/router/copy_test.go
@@ -10,8 +10,8 @@
 
 // neighbour makes another host known to a bed's router and in touch with it.
 func (b *bed) neighbour(address string) {
-	b.step(Receive{From: address, Message: Message{Beat: &Beat{
-		Member: Member{Name: "n", Zone: "north", Address: address, Life: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
+	b.step(Receive{From: address, Message: Message{Heartbeat: &Heartbeat{
+		Member: Member{Name: "n", Zone: "north", Address: address, Incarnation: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
 	}}})
 }
 
@@ -19,14 +19,14 @@
 // meanwhile does not start a job whose client has been told that it will not run.
 func TestLateCopyOfRefusedOffer(t *testing.T) {
 	const origin = "10.0.0.9:1"
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	b.neighbour(origin)
 	first := pair("first")
-	first.Expect = 4 * time.Second
+	first.ExpectedRunTime = 4 * time.Second
 	require.Len(t, only[Start](b.step(Submit{Request: 1, Job: first, Budget: 9 * time.Second})), 2)
 
-	offer := &Offer{Job: pair("second"), Left: 5 * time.Second, Stamp: 7}
-	offer.Job.Expect, offer.Job.Stretch, offer.Job.Allowance = 100*time.Millisecond, 1.1, 0 // no time to wait
+	offer := &Offer{Job: pair("second"), TimeLeft: 5 * time.Second, SubmissionID: 7}
+	offer.Job.ExpectedRunTime, offer.Job.Stretch, offer.Job.Allowance = 100*time.Millisecond, 1.1, 0 // no time to wait
 	verdict := func(effects []Effect) *Verdict {
 		for _, e := range only[Send](effects) {
 			if e.Message.Verdict != nil {
@@ -39,9 +39,9 @@
 	require.NotNil(t, refused)
 	require.Equal(t, Refused, refused.Outcome)
 
-	b.step(Abandon{Request: 1}) // there is room again
+	b.step(ClientGone{Request: 1}) // there is room again
 	for _, task := range []string{"first.0.0.0", "first.0.0.1"} {
-		b.step(Stopped{Target: "p", Task: task, Run: 1, Good: true})
+		b.step(StopAnswered{Target: "p", Task: task, Run: 1, Acknowledged: true})
 	}
 	for _, renew := range only[Renew](b.pass(200 * time.Millisecond)) {
 		b.answer(renew)
@@ -54,7 +54,7 @@
 	assert.Equal(t, Refused, again.Outcome)
 
 	later := *offer // the client sends the job once more
-	later.Stamp = 8
+	later.SubmissionID = 8
 	assert.Len(t, only[Start](b.step(Receive{From: origin, Message: Message{Offer: &later}})), 2)
 }
 
@@ -63,9 +63,9 @@
 // would start a job anew that runs at a target which it does not know.
 func TestFormerTargetsAreToldAgain(t *testing.T) {
 	b := newBed(t)
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 3, Targets: entries(2)}})
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 3, Targets: entries(2)}})
 	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
-	b.peer = Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Life: 1, Slot: 3}
+	b.peer = Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3}
 	kinds := func(effects []Effect) []string {
 		var list []string
 		for _, e := range only[Send](effects) {
@@ -76,7 +76,7 @@
 		return list
 	}
 	assert.Equal(t, []string{"former", "offer"}, kinds(b.hold(2)))
-	assert.Equal(t, []string{"former", "offer"}, kinds(b.step(Linked{Address: b.peer.Address})))
+	assert.Equal(t, []string{"former", "offer"}, kinds(b.step(LinkOpened{Address: b.peer.Address})))
 }
 
 // TestVerdictOfEarlierSubmission: a verdict that was given on an earlier submission of a
@@ -85,6 +85,6 @@
 	b := newBed(t)
 	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
 	stamp := b.now.UnixNano()
-	assert.Empty(t, answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, Stamp: stamp - 1})))
-	assert.Len(t, answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, Stamp: stamp})), 1)
+	assert.Empty(t, answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, SubmissionID: stamp - 1})))
+	assert.Len(t, answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, SubmissionID: stamp})), 1)
 }
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -9,14 +9,14 @@
 // refresh asks for the directory when it is due: the holder reads it, and the
 // others only while no holder does.
 func (r *Router) refresh() {
-	if r.Self.Slot == 0 && len(r.directory.Targets) > 0 || r.now.Sub(r.asked) < r.Bounds.Directory {
+	if r.Self.Slot == 0 && len(r.directory.Targets) > 0 || r.now.Sub(r.asked) < r.Bounds.DirectoryInterval {
 		return
 	}
 	if !r.holds() && r.readElsewhere() {
 		return
 	}
 	r.asked = r.now
-	r.emit(Read{})
+	r.emit(ReadDirectory{})
 }
 
 func (r *Router) holds() bool {
@@ -31,7 +31,7 @@
 // readElsewhere reports whether a peer has read the directory lately.
 func (r *Router) readElsewhere() bool {
 	for _, p := range r.peers {
-		if r.related(p.member.Zone) && r.reaches(p) && p.age+r.now.Sub(p.heard) < 3*r.Bounds.Directory {
+		if r.related(p.member.Zone) && r.reaches(p) && p.age+r.now.Sub(p.heard) < 3*r.Bounds.DirectoryInterval {
 			return true
 		}
 	}
@@ -39,9 +39,9 @@
 }
 
 // locate takes the directory as the store had it.
-func (r *Router) locate(e Locate) {
+func (r *Router) locate(e DirectoryRead) {
 	if !r.outage.IsZero() {
-		r.emit(Decide{Action: "store", Pairs: []any{"state", "regained", "after", r.since(r.outage)}})
+		r.emit(Decision{Action: "store", Pairs: []any{"state", "regained", "after", r.since(r.outage)}})
 		if r.now.Sub(r.outage) > shortOutage {
 			r.returned = r.now
 		}
@@ -50,8 +50,8 @@
 	if r.wasAway() {
 		r.keepAbsent(&e.Directory)
 	}
-	r.located = e.Asked
-	r.take(e.Directory, e.Asked, "store")
+	r.located = e.RequestedAt
+	r.take(e.Directory, e.RequestedAt, "store")
 }
 
 // shortOutage is how long the store may be away before entries of targets lapse.
@@ -63,7 +63,7 @@
 	if !r.outage.IsZero() {
 		return r.now.Sub(r.outage) > shortOutage
 	}
-	return !r.returned.IsZero() && r.now.Sub(r.returned) <= r.Bounds.Absent
+	return !r.returned.IsZero() && r.now.Sub(r.returned) <= r.Bounds.UnlistedGrace
 }
 
 // handleDirectory takes the list that another host has read. One that comes from the
@@ -72,7 +72,7 @@
 	if len(d.Targets) < d.Total && p.member.Zone != r.Self.Zone {
 		return // it lacks the targets of this zone
 	}
-	if r.wasAway() && r.now.Sub(p.since) <= r.Bounds.Absent && d.Version > r.directory.Version {
+	if r.wasAway() && r.now.Sub(p.since) <= r.Bounds.UnlistedGrace && d.Version > r.directory.Version {
 		r.keepAbsent(&d)
 	}
 	r.take(d, r.now.Add(-p.age), "peer")
@@ -92,7 +92,7 @@
 func (r *Router) unread() {
 	if r.outage.IsZero() {
 		r.outage = r.now
-		r.emit(Decide{Action: "store", Pairs: []any{"state", "lost", "age", r.since(r.located)}})
+		r.emit(Decision{Action: "store", Pairs: []any{"state", "lost", "age", r.since(r.located)}})
 	}
 }
 
@@ -106,7 +106,7 @@
 	if d.same(r.directory) {
 		return
 	}
-	r.emit(Decide{Action: "directory", Pairs: []any{
+	r.emit(Decision{Action: "directory", Pairs: []any{
 		"version", d.Version, "total", d.total(), "targets", len(d.Targets), "before", len(r.directory.Targets), "source", source, "age", r.since(asked),
 	}})
 	r.noteUnlisted(d)
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -14,7 +14,7 @@
 		return
 	}
 	r.leaving = r.now
-	r.emit(Decide{Action: "drain", Pairs: []any{"open", len(r.open), "grace", r.Bounds.Grace.String()}})
+	r.emit(Decision{Action: "drain", Pairs: []any{"open", len(r.open), "grace", r.Bounds.ShutdownTimeout.String()}})
 	r.beatNow()
 }
 
@@ -24,10 +24,10 @@
 		return
 	}
 	spent := r.now.Sub(r.leaving)
-	if spent < r.Bounds.Linger {
+	if spent < r.Bounds.ShutdownLinger {
 		return
 	}
-	over := spent >= r.Bounds.Grace-graceSlack
+	over := spent >= r.Bounds.ShutdownTimeout-graceSlack
 	if !over && (len(r.open) > 0 || r.holdsWork()) {
 		return
 	}
@@ -38,7 +38,7 @@
 		r.answer(q, v)
 	}
 	r.halted = true
-	r.emit(Decide{Action: "halt", Pairs: []any{"after", spent.String(), "overdue", over}})
+	r.emit(Decision{Action: "halt", Pairs: []any{"after", spent.String(), "overdue", over}})
 	r.emit(Halt{})
 }
 
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -17,12 +17,12 @@
 	Known   bool
 }
 
-// Pending answers a Count.
-type Pending struct {
+// OpenJobs answers a CountOpen.
+type OpenJobs struct {
 	Request uint64
-	// Unbegun counts the open jobs of which no task is known to have started, by
+	// Unstarted counts the open jobs of which no task is known to have started, by
 	// route.
-	Unbegun map[string]int
+	Unstarted map[string]int
 	// Open are the states of the open jobs, by ID: true for one that has begun.
 	Open map[string]bool
 }
@@ -36,24 +36,24 @@
 // Dial asks for links to the addresses, beside those there are.
 type Dial struct{ Addresses []string }
 
-// Hangup closes the link to a host that is gone.
-type Hangup struct{ Address string }
+// CloseLink closes the link to a host that is gone.
+type CloseLink struct{ Address string }
 
 // Redial replaces the connection to a host that does not answer.
 type Redial struct{ Address string }
 
-// Start orders a target to run a task. It is answered by one Began.
+// Start orders a target to run a task. It is answered by one StartAnswered.
 type Start struct {
-	Target  Target
-	Token   uint64
-	Task    string
-	Run     int
-	Spec    string
-	Until   int64 // end of the lease in the target's milliseconds
-	Timeout time.Duration
+	Target   Target
+	Token    uint64
+	Task     string
+	Run      int
+	Spec     string
+	LeaseEnd int64 // end of the lease in the target's milliseconds
+	Timeout  time.Duration
 }
 
-// Stop orders a target to end a run. It is answered by one Stopped.
+// Stop orders a target to end a run. It is answered by one StopAnswered.
 type Stop struct {
 	Target  Target
 	Token   uint64
@@ -63,57 +63,57 @@
 }
 
 // Renew extends a target's lease and asks what runs there. It is answered by
-// one Renewed.
+// one RenewAnswered.
 type Renew struct {
 	Target Target
 	Token  uint64
 	// Acked is the number up to which ends need not be listed again.
 	Acked int
-	// Until is the end of the lease in the target's milliseconds; 0 leaves it.
-	Until int64
+	// LeaseEnd is the end of the lease in the target's milliseconds; 0 leaves it.
+	LeaseEnd int64
 	// Wait is how long the answer waits for an end.
 	Wait    time.Duration
 	Timeout time.Duration
-	// Look marks a renewal beside the one that waits.
-	Look bool
+	// Poll marks a renewal beside the one that waits.
+	Poll bool
 }
 
-// Warm opens connections to a target, or uses them so that they stay open, without any
+// WarmUp opens connections to a target, or uses them so that they stay open, without any
 // effect there. It is not answered.
-type Warm struct {
+type WarmUp struct {
 	Target      Target
 	Connections int
 	Timeout     time.Duration
 }
 
-// Retire drops the idle connections to a target.
-type Retire struct {
+// CloseIdle drops the idle connections to a target.
+type CloseIdle struct {
 	ID string
 	// Gone tells that the target is not used again.
 	Gone bool
 }
 
-// Stake writes claims to the store, each on the condition that its row has the
-// version. It is answered by one Claimed.
-type Stake struct {
+// WriteClaims writes claims to the store, each on the condition that its row has the
+// version. It is answered by one ClaimsWritten.
+type WriteClaims struct {
 	Token uint64
-	Rows  []Stored
+	Rows  []StoredClaim
 }
 
-// Read asks for the list of targets. It is answered by Locate or Unread.
-type Read struct{}
+// ReadDirectory asks for the list of targets. It is answered by DirectoryRead or DirectoryReadFailed.
+type ReadDirectory struct{}
 
-// Keep writes what was learned to the store, for the time after a loss of all hosts.
-type Keep struct {
-	Lessons []Lesson `cbor:"1,keyasint"`
-	Speeds  []Speed  `cbor:"2,keyasint"`
+// SaveLearnedState writes what was learned to the store, for the time after a loss of all hosts.
+type SaveLearnedState struct {
+	Routes []RouteStats `cbor:"1,keyasint"`
+	Speeds []KindSpeed  `cbor:"2,keyasint"`
 }
 
-// Expel removes a member that has gone from the store.
-type Expel struct{ Member Member }
+// RemoveMember removes a member that has gone from the store.
+type RemoveMember struct{ Member Member }
 
-// Decide is one decision for the log.
-type Decide struct {
+// Decision is one decision for the log.
+type Decision struct {
 	Action string
 	Job    string
 	Task   string
@@ -125,8 +125,8 @@
 	Routine bool
 }
 
-// Violate reports a broken invariant. It is a defect of the program.
-type Violate struct {
+// Violation reports a broken invariant. It is a defect of the program.
+type Violation struct {
 	Invariant string
 	Detail    string
 }
@@ -134,22 +134,22 @@
 // Halt tells that the shutdown is over and the process may end.
 type Halt struct{}
 
-func (Answer) effect()    {}
-func (Cancelled) effect() {}
-func (Pending) effect()   {}
-func (Send) effect()      {}
-func (Dial) effect()      {}
-func (Hangup) effect()    {}
-func (Redial) effect()    {}
-func (Start) effect()     {}
-func (Stop) effect()      {}
-func (Renew) effect()     {}
-func (Retire) effect()    {}
-func (Stake) effect()     {}
-func (Read) effect()      {}
-func (Warm) effect()      {}
-func (Keep) effect()      {}
-func (Expel) effect()     {}
-func (Decide) effect()    {}
-func (Violate) effect()   {}
-func (Halt) effect()      {}
+func (Answer) effect()           {}
+func (Cancelled) effect()        {}
+func (OpenJobs) effect()         {}
+func (Send) effect()             {}
+func (Dial) effect()             {}
+func (CloseLink) effect()        {}
+func (Redial) effect()           {}
+func (Start) effect()            {}
+func (Stop) effect()             {}
+func (Renew) effect()            {}
+func (CloseIdle) effect()        {}
+func (WriteClaims) effect()      {}
+func (ReadDirectory) effect()    {}
+func (WarmUp) effect()           {}
+func (SaveLearnedState) effect() {}
+func (RemoveMember) effect()     {}
+func (Decision) effect()         {}
+func (Violation) effect()        {}
+func (Halt) effect()             {}
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -5,7 +5,7 @@
 // Event is an input of Router.Step.
 type Event interface{ event() }
 
-// Tick tells that time has passed. It comes at least every Bounds.Tick.
+// Tick tells that time has passed. It comes at least every Bounds.TickInterval.
 type Tick struct{}
 
 // Submit brings a job of a client of this host. It is answered by one Answer.
@@ -16,8 +16,8 @@
 	Budget time.Duration
 }
 
-// Abandon tells that the client of a request has gone.
-type Abandon struct{ Request uint64 }
+// ClientGone tells that the client of a request has gone.
+type ClientGone struct{ Request uint64 }
 
 // Cancel withdraws a job. It is answered by one Cancelled.
 type Cancel struct {
@@ -25,8 +25,8 @@
 	ID      string
 }
 
-// Count asks for the open jobs of this host. It is answered by one Pending.
-type Count struct{ Request uint64 }
+// CountOpen asks for the open jobs of this host. It is answered by one OpenJobs.
+type CountOpen struct{ Request uint64 }
 
 // Receive brings a message of another entry host.
 type Receive struct {
@@ -37,51 +37,51 @@
 // Adopt brings a configuration; it is taken only when its version is higher.
 type Adopt struct{ Config *Config }
 
-// Locate brings the list of targets, read from the store at Asked.
-type Locate struct {
-	Asked     time.Time
-	Directory Directory
+// DirectoryRead brings the list of targets, read from the store at RequestedAt.
+type DirectoryRead struct {
+	RequestedAt time.Time
+	Directory   Directory
 }
 
-// Unread tells that the list of targets could not be read.
-type Unread struct{}
+// DirectoryReadFailed tells that the list of targets could not be read.
+type DirectoryReadFailed struct{}
 
-// Enrol tells the slot under which this host was registered, and the other
+// Registered tells the slot under which this host was registered, and the other
 // members and claims that the store has.
-type Enrol struct {
-	Slot    int
-	Life    int
-	Members []Member
-	Claims  []Stored
+type Registered struct {
+	Slot     int
+	SlotUses int
+	Members  []Member
+	Claims   []StoredClaim
 }
 
-// Recall brings what holders of earlier times have written to the store.
-type Recall struct{ Kept []Keep }
+// LearnedStateRead brings what holders of earlier times have written to the store.
+type LearnedStateRead struct{ Saved []SaveLearnedState }
 
-// Stored is a claim in the store with the version of its row.
-type Stored struct {
+// StoredClaim is a claim in the store with the version of its row.
+type StoredClaim struct {
 	Claim   Claim
 	Version uint64
 }
 
-// Claimed tells how a Stake ended.
-type Claimed struct {
+// ClaimsWritten tells how a WriteClaims ended.
+type ClaimsWritten struct {
 	Token  uint64
 	Result ClaimResult
 	// Rows are the rows after the write or those that stood against it.
-	Rows []Stored
+	Rows []StoredClaim
 }
 
-// ClaimResult is how a Stake ended.
+// ClaimResult is how a WriteClaims ended.
 type ClaimResult string
 
 const (
-	// Won means that the rows were written.
-	Won ClaimResult = "won"
-	// Beaten means that a row has changed meanwhile.
-	Beaten ClaimResult = "beaten"
-	// Silent means that the store did not answer in time.
-	Silent ClaimResult = "silent"
+	// ClaimWon means that the rows were written.
+	ClaimWon ClaimResult = "won"
+	// ClaimConflict means that a row has changed meanwhile.
+	ClaimConflict ClaimResult = "beaten"
+	// ClaimTimeout means that the store did not answer in time.
+	ClaimTimeout ClaimResult = "silent"
 )
 
 // StartResult is what a target answered to a Start.
@@ -92,26 +92,26 @@
 	Running StartResult = "running"
 	// Fenced means that the target obeys a higher token.
 	Fenced StartResult = "fenced"
-	// Outdated means that the run is not higher than one that has ended there.
-	Outdated StartResult = "outdated"
-	// Belated means that the order's lease had passed.
-	Belated StartResult = "belated"
-	// Crowded means that the task does not fit beside the others.
-	Crowded StartResult = "crowded"
+	// StaleRun means that the run is not higher than one that has ended there.
+	StaleRun StartResult = "outdated"
+	// OrderExpired means that the order's lease had passed.
+	OrderExpired StartResult = "belated"
+	// NoCapacity means that the task does not fit beside the others.
+	NoCapacity StartResult = "crowded"
 	// Unhealthy means that the target refused and did nothing.
 	Unhealthy StartResult = "unhealthy"
 	// Invalid means that the target does not understand the order.
 	Invalid StartResult = "invalid"
 	// Replaced means that another process answers at the address.
 	Replaced StartResult = "replaced"
-	// Doubtful means that no answer came: the task may run, now or later.
-	Doubtful StartResult = "doubtful"
-	// Unsent means that no connection could be made: nothing was sent.
-	Unsent StartResult = "unsent"
+	// NoAnswer means that no answer came: the task may run, now or later.
+	NoAnswer StartResult = "doubtful"
+	// NotSent means that no connection could be made: nothing was sent.
+	NotSent StartResult = "unsent"
 )
 
-// Began is the answer to a Start.
-type Began struct {
+// StartAnswered is the answer to a Start.
+type StartAnswered struct {
 	Target string
 	Task   string
 	Run    int
@@ -126,33 +126,33 @@
 	At     time.Time
 }
 
-// Stopped is the answer to a Stop. Good tells that the target took the order.
-type Stopped struct {
-	Target string
-	Task   string
-	Run    int
-	Good   bool
+// StopAnswered is the answer to a Stop. Acknowledged tells that the target took the order.
+type StopAnswered struct {
+	Target       string
+	Task         string
+	Run          int
+	Acknowledged bool
 }
 
-// Renewed is the answer to a Renew.
-type Renewed struct {
+// RenewAnswered is the answer to a Renew.
+type RenewAnswered struct {
 	Target string
 	Token  uint64
-	// Sent is when the order left.
-	Sent time.Time
-	// Look repeats what the order said.
-	Look bool
-	// Result is Running for a good answer; Fenced, Replaced or Doubtful tell
+	// SentAt is when the order left.
+	SentAt time.Time
+	// Poll repeats what the order said.
+	Poll bool
+	// Result is Running for a good answer; Fenced, Replaced or NoAnswer tell
 	// why there is none.
-	Result  StartResult
-	Clock   Reading
-	Born    int64
-	Running []Live
-	Ended   []End
+	Result    StartResult
+	Clock     Reading
+	StartedAt int64
+	Running   []RunningTask
+	Ended     []End
 }
 
-// Live is a run that a target lists as running.
-type Live struct {
+// RunningTask is a run that a target lists as running.
+type RunningTask struct {
 	Task string
 	Run  int
 	// Percent is how much of its work the run has done.
@@ -164,49 +164,49 @@
 	Number int
 	Task   string
 	Run    int
-	How    Manner
+	Reason EndReason
 }
 
-// Manner is how a run ended.
-type Manner string
+// EndReason is how a run ended.
+type EndReason string
 
 const (
-	// Done means that the task did its work.
-	Done Manner = "done"
-	// Broke means that the run failed.
-	Broke Manner = "failed"
-	// Halted means that it was stopped.
-	Halted Manner = "stopped"
-	// Lapsed means that its lease ran out.
-	Lapsed Manner = "lapsed"
+	// EndDone means that the task did its work.
+	EndDone EndReason = "done"
+	// EndFailed means that the run failed.
+	EndFailed EndReason = "failed"
+	// EndStopped means that it was stopped.
+	EndStopped EndReason = "stopped"
+	// EndLeaseExpired means that its lease ran out.
+	EndLeaseExpired EndReason = "lapsed"
 )
 
 // Drain asks for a graceful shutdown.
 type Drain struct{}
 
-func (Tick) event()    {}
-func (Submit) event()  {}
-func (Abandon) event() {}
-func (Cancel) event()  {}
-func (Receive) event() {}
-func (Adopt) event()   {}
-func (Locate) event()  {}
-func (Unread) event()  {}
-func (Recall) event()  {}
-func (Enrol) event()   {}
-func (Claimed) event() {}
-func (Began) event()   {}
-func (Stopped) event() {}
-func (Renewed) event() {}
-func (Drain) event()   {}
-
-// Linked tells that messages to another host have a new connection; what was
+func (Tick) event()                {}
+func (Submit) event()              {}
+func (ClientGone) event()          {}
+func (Cancel) event()              {}
+func (Receive) event()             {}
+func (Adopt) event()               {}
+func (DirectoryRead) event()       {}
+func (DirectoryReadFailed) event() {}
+func (LearnedStateRead) event()    {}
+func (Registered) event()          {}
+func (ClaimsWritten) event()       {}
+func (StartAnswered) event()       {}
+func (StopAnswered) event()        {}
+func (RenewAnswered) event()       {}
+func (Drain) event()               {}
+
+// LinkOpened tells that messages to another host have a new connection; what was
 // sent on an earlier one may be lost.
-type Linked struct{ Address string }
+type LinkOpened struct{ Address string }
 
-// Severed tells that nobody listens at another host's address.
-type Severed struct{ Address string }
+// PeerExited tells that nobody listens at another host's address.
+type PeerExited struct{ Address string }
 
-func (Count) event()   {}
-func (Linked) event()  {}
-func (Severed) event() {}
+func (CountOpen) event()  {}
+func (LinkOpened) event() {}
+func (PeerExited) event() {}
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -117,7 +117,7 @@
 	c := r.cells[origin.Zone]
 	stale := p != nil && !r.reaches(p) // it may have been on its way through a cut
 	if c == nil || !c.mine || stale {
-		r.tell(origin.Address, Verdict{ID: o.Job.ID, Outcome: Elsewhere, Stamp: o.Stamp})
+		r.tell(origin.Address, Verdict{ID: o.Job.ID, Outcome: WrongHolder, SubmissionID: o.SubmissionID})
 		return
 	}
 	earlier := r.jobs[o.Job.ID]
@@ -130,11 +130,11 @@
 	j.waited = r.hasWaited(j)
 	if v, refused := r.admit(j); refused {
 		v.Outcome = j.truthful(v.Outcome)
-		r.emit(Decide{Action: "refuse", Job: j.spec.ID, Pairs: r.inputs(j, "reason", v.Reason, "after", v.After.String())})
+		r.emit(Decision{Action: "refuse", Job: j.spec.ID, Pairs: r.inputs(j, "reason", v.Reason, "after", v.RetryAfter.String())})
 		r.reject(j, v)
 		return
 	}
-	r.emit(Decide{Action: "admit", Job: j.spec.ID, Pairs: r.inputs(j), Routine: true})
+	r.emit(Decision{Action: "admit", Job: j.spec.ID, Pairs: r.inputs(j), Routine: true})
 	r.measure(j, Accepted, j.arrived)
 	r.jobs[j.spec.ID] = j
 	if j.resent {
@@ -148,7 +148,7 @@
 // reject refuses a job. It is remembered, since a copy of its offer may still be on
 // its way over a link that was replaced.
 func (r *Router) reject(j *job, v Verdict) {
-	v.Stamp = j.stamp
+	v.SubmissionID = j.stamp
 	j.over, j.verdict, j.since = true, v, r.now
 	r.jobs[j.spec.ID] = j
 	r.ended = append(r.ended, j)
@@ -158,14 +158,14 @@
 // answered reports whether an offer is a late copy of one that the job's host has had
 // the final verdict on.
 func (j *job) answered(origin string, o *Offer) bool {
-	return j.over && j.verdict.Outcome != Elsewhere && j.origin == origin && j.stamp == o.Stamp && o.Stamp != 0
+	return j.over && j.verdict.Outcome != WrongHolder && j.origin == origin && j.stamp == o.SubmissionID && o.SubmissionID != 0
 }
 
 // runsAnew reports whether a job has ended so that its client may have it run
 // once more.
 func (j *job) runsAnew() bool {
 	switch j.verdict.Outcome {
-	case Unknown, Refused, Elsewhere:
+	case Unknown, Refused, WrongHolder:
 		return j.over
 	}
 	return j.over && j.verdict.Reason == Withdrawn
@@ -194,11 +194,11 @@
 // repeated takes a job that is known here: its client has sent it again through
 // another host, or the host has offered it under another claim.
 func (r *Router) repeated(j *job, origin string, o *Offer) {
-	j.origin, j.stamp = origin, o.Stamp
-	j.deadline = later(j.deadline, r.now.Add(o.Left))
-	r.emit(Decide{Action: "repeat", Job: j.spec.ID, Pairs: []any{"origin", origin, "over", j.over, "outcome", j.verdict.Outcome}})
+	j.origin, j.stamp = origin, o.SubmissionID
+	j.deadline = later(j.deadline, r.now.Add(o.TimeLeft))
+	r.emit(Decision{Action: "repeat", Job: j.spec.ID, Pairs: []any{"origin", origin, "over", j.over, "outcome", j.verdict.Outcome}})
 	if j.over {
-		j.verdict.Stamp = o.Stamp
+		j.verdict.SubmissionID = o.SubmissionID
 		r.tell(origin, j.verdict)
 	}
 }
@@ -206,13 +206,13 @@
 // accept makes a job of an offer.
 func (r *Router) accept(origin string, o *Offer) *job {
 	j := &job{
-		spec: o.Job, origin: origin, stamp: o.Stamp, tasks: make([]task, o.Job.Count), waiting: o.Job.Count,
-		offered: r.now, arrived: r.now.Add(-o.Spent), deadline: r.now.Add(o.Left),
-		resent: o.Resent, zones: o.Zones,
+		spec: o.Job, origin: origin, stamp: o.SubmissionID, tasks: make([]task, o.Job.Count), waiting: o.Job.Count,
+		offered: r.now, arrived: r.now.Add(-o.Elapsed), deadline: r.now.Add(o.TimeLeft),
+		resent: o.Reoffered, zones: o.PreviousZones,
 	}
 	j.SetPlace(-1)
 	for i := range j.tasks {
-		j.tasks[i].state, j.tasks[i].last = taskWaiting, o.Base
+		j.tasks[i].state, j.tasks[i].last = taskWaiting, o.RunBase
 	}
 	for _, i := range o.Done {
 		if i >= 0 && i < len(j.tasks) && j.tasks[i].state != taskDone {
@@ -222,7 +222,7 @@
 		}
 	}
 	if j.resent {
-		j.cleared = r.now.Add(r.Bounds.Quarantine)
+		j.cleared = r.now.Add(r.Bounds.QuarantineDuration)
 	}
 	r.plan(j)
 	return j
@@ -241,7 +241,7 @@
 				r.taskDone(j, i)
 			}
 			if number, ok := t.orphan[name]; ok {
-				r.adoptRun(t, j, i, Live{Task: name, Run: number})
+				r.adoptRun(t, j, i, RunningTask{Task: name, Run: number})
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 // inputs returns what a decision on a job was taken from.
 func (r *Router) inputs(j *job, more ...any) []any {
 	return append([]any{
-		"route", j.spec.Route, "tasks", j.spec.Count, "cpu", j.spec.Need.CPU, "expect", j.expect.Round(time.Millisecond).String(), "declared", j.spec.Expect.String(),
+		"route", j.spec.Route, "tasks", j.spec.Count, "cpu", j.spec.Need.CPU, "expect", j.expect.Round(time.Millisecond).String(), "declared", j.spec.ExpectedRunTime.String(),
 		"slack", j.latest.Sub(r.now).Round(time.Millisecond).String(), "left", j.deadline.Sub(r.now).Round(time.Millisecond).String(),
 		"queued", r.queue.Len(), "directory", r.directory.Version, "resent", j.resent, "excess", j.excess, "waited", j.waited,
 	}, more...)
@@ -283,7 +283,7 @@
 	j.begun = true
 	r.settle(j)
 	if !j.over { // otherwise the verdict tells
-		r.marks[j.origin] = append(r.marks[j.origin], Mark{ID: j.spec.ID, Task: index})
+		r.marks[j.origin] = append(r.marks[j.origin], DoneTask{ID: j.spec.ID, Task: index})
 	}
 }
 
@@ -306,8 +306,8 @@
 		return
 	}
 	for i := range j.tasks {
-		if j.tasks[i].failed >= max(j.spec.Attempts, 1) {
-			r.end(j, Verdict{Outcome: Failed, Reason: Exhausted})
+		if j.tasks[i].failed >= max(j.spec.MaxAttempts, 1) {
+			r.end(j, Verdict{Outcome: Failed, Reason: AttemptsExhausted})
 			return
 		}
 	}
@@ -327,7 +327,7 @@
 
 // end gives a job its verdict, once, and stops what still runs.
 func (r *Router) end(j *job, v Verdict) {
-	v.ID, v.Stamp = j.spec.ID, j.stamp
+	v.ID, v.SubmissionID = j.spec.ID, j.stamp
 	v.Outcome = j.truthful(v.Outcome)
 	if v.Outcome == Refused && j.begun {
 		r.violate("a refusal is true", "%s was begun", j.spec.ID)
@@ -342,7 +342,7 @@
 		r.measure(j, Ended, j.ordered)
 	}
 	inputs := r.inputs(j, "outcome", v.Outcome, "reason", v.Reason, "done", j.done, "begun", j.begun)
-	r.emit(Decide{Action: "verdict", Job: j.spec.ID, Pairs: inputs, Routine: v.Outcome == Complete})
+	r.emit(Decision{Action: "verdict", Job: j.spec.ID, Pairs: inputs, Routine: v.Outcome == Complete})
 	r.stopRuns(j)
 	r.ended = append(r.ended, j)
 	r.tell(j.origin, v)
@@ -375,7 +375,7 @@
 func (r *Router) dropOrigin(address string) {
 	for _, id := range sortedKeys(r.jobs) {
 		if j := r.jobs[id]; j.origin == address && !j.over {
-			r.end(j, Verdict{Outcome: Unknown, Reason: Unheld})
+			r.end(j, Verdict{Outcome: Unknown, Reason: NoHolder})
 		}
 	}
 }
@@ -388,7 +388,7 @@
 		if j.over || r.zoneOf(j.origin) != zone {
 			continue
 		}
-		j.over, j.since, j.verdict = true, r.now, Verdict{ID: id, Outcome: Elsewhere}
+		j.over, j.since, j.verdict = true, r.now, Verdict{ID: id, Outcome: WrongHolder}
 		r.queue.Remove(j)
 		r.stopRuns(j)
 		r.ended = append(r.ended, j) // it is known for a while, should it come back
@@ -425,7 +425,7 @@
 	for _, j := range slices.Clone(r.queue.Items()) {
 		r.reconsider(j)
 	}
-	for len(r.ended) > 0 && r.now.Sub(r.ended[0].since) > r.Bounds.Keep {
+	for len(r.ended) > 0 && r.now.Sub(r.ended[0].since) > r.Bounds.VerdictRetention {
 		j := r.ended[0]
 		r.ended = r.ended[1:]
 		if r.jobs[j.spec.ID] == j {
@@ -449,9 +449,9 @@
 	for _, address := range sortedKeys(r.marks) {
 		marks := r.marks[address]
 		if address == r.Self.Address {
-			r.progressed(&Progress{Marks: marks})
+			r.progressed(&Progress{Tasks: marks})
 		} else if p := r.peers[address]; p != nil {
-			r.send(p, Message{Progress: &Progress{Marks: marks}})
+			r.send(p, Message{Progress: &Progress{Tasks: marks}})
 		}
 	}
 	clear(r.marks)
--- a/internal/router/learn.go
+++ b/internal/router/learn.go
@@ -18,9 +18,9 @@
 	outliers int
 }
 
-// Lesson is a history on its way to another host, so that a new holder does not
+// RouteStats is a history on its way to another host, so that a new holder does not
 // begin to learn anew.
-type Lesson struct {
+type RouteStats struct {
 	Route string  `cbor:"1,keyasint"`
 	Count int     `cbor:"2,keyasint"`
 	MeanX float64 `cbor:"3,keyasint"`
@@ -34,9 +34,9 @@
 	VarTimeout  float64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Speed is how the tasks of one kind of target compare with others, as the
+// KindSpeed is how the tasks of one kind of target compare with others, as the
 // logarithm of a factor on the run time.
-type Speed struct {
+type KindSpeed struct {
 	Kind  string  `cbor:"1,keyasint"`
 	Count int     `cbor:"2,keyasint"`
 	Log   float64 `cbor:"3,keyasint"`
@@ -68,17 +68,17 @@
 
 // declared returns what a job declares as the run time of a task.
 func declared(spec *Job) time.Duration {
-	if spec.Expect <= 0 {
+	if spec.ExpectedRunTime <= 0 {
 		return usual
 	}
-	return spec.Expect
+	return spec.ExpectedRunTime
 }
 
 // predict returns the expected run time of one task at a target of usual speed.
 func (r *Router) predict(spec *Job) time.Duration {
 	x := math.Log(declared(spec).Seconds())
 	h := r.learned[spec.Route]
-	if h == nil || h.count < historyTrust || !r.uses(RunTimes) {
+	if h == nil || h.count < historyTrust || !r.uses(RunTimePrediction) {
 		return declared(spec)
 	}
 	return seconds(math.Exp(h.meanY + h.slope()*(x-h.meanX)))
@@ -148,7 +148,7 @@
 func (r *Router) learnSpeed(kind string, off float64) {
 	s := r.speeds[kind]
 	if s == nil {
-		s = &Speed{Kind: kind}
+		s = &KindSpeed{Kind: kind}
 		r.speeds[kind] = s
 	}
 	s.Count++
@@ -157,7 +157,7 @@
 
 // speedLog returns the logarithm of a kind's factor on the run time.
 func (r *Router) speedLog(kind string) float64 {
-	if s := r.speeds[kind]; s != nil && s.Count >= speedTrust && r.uses(KindSpeeds) {
+	if s := r.speeds[kind]; s != nil && s.Count >= speedTrust && r.uses(KindSpeedLearning) {
 		return s.Log
 	}
 	return 0
@@ -166,7 +166,7 @@
 // speed returns a kind's factor on the run time.
 func (r *Router) speed(kind string) float64 {
 	s := r.speeds[kind]
-	if s == nil || s.Count < speedTrust || !r.uses(KindSpeeds) {
+	if s == nil || s.Count < speedTrust || !r.uses(KindSpeedLearning) {
 		return 1
 	}
 	if s.factor == 0 || s.asked != s.Log {
@@ -189,16 +189,16 @@
 }
 
 // lessons returns what was learned, for the other hosts.
-func (r *Router) lessons() ([]Lesson, []Speed) {
-	var lessons []Lesson
+func (r *Router) lessons() ([]RouteStats, []KindSpeed) {
+	var lessons []RouteStats
 	for _, route := range sortedKeys(r.learned) {
 		h := r.learned[route]
-		lessons = append(lessons, Lesson{
+		lessons = append(lessons, RouteStats{
 			Route: route, Count: h.count, MeanX: h.meanX, MeanY: h.meanY, VarX: h.varX, CovXY: h.covXY,
 			Timeouts: h.timeouts.count, MeanTimeout: h.timeouts.mean, VarTimeout: h.timeouts.variance,
 		})
 	}
-	var speeds []Speed
+	var speeds []KindSpeed
 	for _, kind := range sortedKeys(r.speeds) {
 		speeds = append(speeds, *r.speeds[kind])
 	}
@@ -222,25 +222,25 @@
 	}
 	r.kept = r.now
 	lessons, speeds := r.lessons()
-	slices.SortStableFunc(lessons, func(a, b Lesson) int { return cmp.Compare(b.Count, a.Count) })
-	r.emit(Keep{Lessons: lessons[:min(len(lessons), mostKept)], Speeds: speeds})
+	slices.SortStableFunc(lessons, func(a, b RouteStats) int { return cmp.Compare(b.Count, a.Count) })
+	r.emit(SaveLearnedState{Routes: lessons[:min(len(lessons), mostKept)], Speeds: speeds})
 }
 
 // handleLessons takes what earlier holders have written to the store.
-func (r *Router) handleLessons(e Recall) {
-	for _, kept := range e.Kept {
-		if err := checkLessons(kept.Lessons, kept.Speeds); err != nil {
-			r.emit(Decide{Action: "ignore", Pairs: []any{"kind", "lessons", "error", err.Error()}})
+func (r *Router) handleLessons(e LearnedStateRead) {
+	for _, kept := range e.Saved {
+		if err := checkLessons(kept.Routes, kept.Speeds); err != nil {
+			r.emit(Decision{Action: "ignore", Pairs: []any{"kind", "lessons", "error", err.Error()}})
 			continue
 		}
-		r.study(kept.Lessons, kept.Speeds)
+		r.study(kept.Routes, kept.Speeds)
 	}
-	r.emit(Decide{Action: "recall", Pairs: []any{"rows", len(e.Kept), "routes", len(r.learned)}})
+	r.emit(Decision{Action: "recall", Pairs: []any{"rows", len(e.Saved), "routes", len(r.learned)}})
 }
 
 // study takes what another host has learned from more tasks than this one. Run
 // times and speeds only make sense together.
-func (r *Router) study(lessons []Lesson, speeds []Speed) {
+func (r *Router) study(lessons []RouteStats, speeds []KindSpeed) {
 	theirs, own := 0, 0
 	for _, l := range lessons {
 		theirs += l.Count
--- a/internal/router/learn_test.go
+++ b/internal/router/learn_test.go
@@ -10,7 +10,7 @@
 // taught is a holder that has learned from so many runs of 100 ms.
 func taught(t *testing.T, runs int) *holderBed {
 	t.Helper()
-	b := newHolderBed(t, 3, Won)
+	b := newHolderBed(t, 3, ClaimWon)
 	for range runs {
 		b.ran(100*time.Millisecond, false)
 	}
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -6,15 +6,15 @@
 )
 
 // listing takes the lists of a target's good answer.
-func (r *Router) listing(t *target, e Renewed) {
+func (r *Router) listing(t *target, e RenewAnswered) {
 	t.read(e.Clock)
-	if e.Born > 0 && t.born > 0 && e.Born != t.born {
-		r.reborn(t, e.Born)
+	if e.StartedAt > 0 && t.born > 0 && e.StartedAt != t.born {
+		r.reborn(t, e.StartedAt)
 	}
-	if e.Born > 0 {
-		t.born = e.Born
+	if e.StartedAt > 0 {
+		t.born = e.StartedAt
 	}
-	t.fresh = later(t.fresh, e.Sent)
+	t.fresh = later(t.fresh, e.SentAt)
 	if t.misses > 0 {
 		t.misses = 0
 		r.logTarget(t, "answers")
@@ -50,10 +50,10 @@
 	delete(t.orphan, end.Task)
 	n := t.runs[end.Task]
 	if n != nil && n.number == end.Run {
-		r.over(n, end.How)
+		r.over(n, end.Reason)
 		return
 	}
-	if end.How != Done {
+	if end.Reason != EndDone {
 		return
 	}
 	id, index, ok := splitTask(end.Task)
@@ -68,15 +68,15 @@
 }
 
 // compare holds what is listed as running against what is known.
-func (r *Router) compare(t *target, e Renewed) {
+func (r *Router) compare(t *target, e RenewAnswered) {
 	listed := make(map[string]int, len(e.Running))
 	for _, live := range e.Running {
 		listed[live.Task] = live.Run
 	}
 	for _, name := range sortedKeys(t.runs) {
 		n := t.runs[name]
-		if _, there := listed[name]; !there && !n.settled.IsZero() && e.Sent.After(n.settled) {
-			r.over(n, Lapsed)
+		if _, there := listed[name]; !there && !n.settled.IsZero() && e.SentAt.After(n.settled) {
+			r.over(n, EndLeaseExpired)
 		}
 	}
 	for name := range t.orphan {
@@ -97,7 +97,7 @@
 
 // unknownRun takes a run that this host did not start: of an earlier holder, or
 // an order that was carried out late.
-func (r *Router) unknownRun(t *target, live Live) {
+func (r *Router) unknownRun(t *target, live RunningTask) {
 	id, index, ok := splitTask(live.Task)
 	if j := r.jobs[id]; ok && j != nil && r.adoptRun(t, j, index, live) {
 		return
@@ -107,7 +107,7 @@
 
 // adoptRun makes a run of an earlier holder one of this host's, if its task
 // still needs it.
-func (r *Router) adoptRun(t *target, j *job, index int, live Live) bool {
+func (r *Router) adoptRun(t *target, j *job, index int, live RunningTask) bool {
 	if index >= len(j.tasks) || j.over || j.tasks[index].state != taskWaiting || j.tasks[index].former.live() {
 		return false
 	}
@@ -119,17 +119,17 @@
 	t.runs[live.Task] = n
 	t.used = t.used.plus(n.need)
 	delete(t.orphan, live.Task)
-	r.emit(Decide{Action: "takeover", Job: j.spec.ID, Task: live.Task, Target: t.ID, Pairs: []any{"run", live.Run}})
+	r.emit(Decision{Action: "takeover", Job: j.spec.ID, Task: live.Task, Target: t.ID, Pairs: []any{"run", live.Run}})
 	return true
 }
 
-func (r Room) plus(part Room) Room {
-	return Room{CPU: r.CPU + part.CPU, Memory: r.Memory + part.Memory, GPU: r.GPU + part.GPU}
+func (r Resources) plus(part Resources) Resources {
+	return Resources{CPU: r.CPU + part.CPU, Memory: r.Memory + part.Memory, GPU: r.GPU + part.GPU}
 }
 
 // clearOrphans stops runs that nobody has claimed in time.
 func (r *Router) clearOrphans(t *target) {
-	if len(t.orphan) == 0 || r.now.Sub(t.found) < r.Bounds.Orphan || r.now.Sub(t.swept) < stopRetry {
+	if len(t.orphan) == 0 || r.now.Sub(t.found) < r.Bounds.OrphanGrace || r.now.Sub(t.swept) < stopRetry {
 		return
 	}
 	t.swept = r.now
@@ -140,12 +140,12 @@
 }
 
 func (r *Router) stopOrphan(t *target, task string, number int) {
-	r.emit(Decide{Action: "stop", Task: task, Target: t.ID, Pairs: []any{"run", number, "reason", "nobody waits for it"}})
-	r.emit(Stop{Target: t.Target, Token: t.token, Task: task, Run: number, Timeout: r.Bounds.Prompt})
+	r.emit(Decision{Action: "stop", Task: task, Target: t.ID, Pairs: []any{"run", number, "reason", "nobody waits for it"}})
+	r.emit(Stop{Target: t.Target, Token: t.token, Task: task, Run: number, Timeout: r.Bounds.OrderTimeout})
 }
 
 // began takes the answer to a start.
-func (r *Router) began(e Began) {
+func (r *Router) began(e StartAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
@@ -156,7 +156,7 @@
 		return
 	}
 	if e.Result != Running {
-		r.emit(Decide{Action: "start", Job: n.job.spec.ID, Task: e.Task, Target: t.ID, Pairs: []any{
+		r.emit(Decision{Action: "start", Job: n.job.spec.ID, Task: e.Task, Target: t.ID, Pairs: []any{
 			"run", e.Run, "outcome", e.Result, "took", r.since(n.sent),
 		}})
 	}
@@ -167,12 +167,12 @@
 		if n.job.over || n.job.tasks[n.task].run != n {
 			r.halt(n)
 		}
-	case e.Result == Doubtful && r.isRepeatable(n):
+	case e.Result == NoAnswer && r.isRepeatable(n):
 		r.repeat(n)
-	case e.Result == Doubtful || n.repeated:
+	case e.Result == NoAnswer || n.repeated:
 		r.doubt(n, e.Result)
 	case e.Result == Invalid:
-		r.over(n, Broke)
+		r.over(n, EndFailed)
 	default:
 		r.turnedDown(t, n, e.Result)
 	}
@@ -181,14 +181,14 @@
 
 // isRepeatable reports whether a start that was not answered is ordered once more.
 func (r *Router) isRepeatable(n *run) bool {
-	return !n.repeated && !n.job.over && r.uses(Repeating)
+	return !n.repeated && !n.job.over && r.uses(StartRetry)
 }
 
 // repeat orders a start once more that was not answered. The target takes a run
 // once only, so a lost answer costs no time.
 func (r *Router) repeat(n *run) {
 	n.repeated = true
-	r.emit(Retire{ID: n.target.ID})
+	r.emit(CloseIdle{ID: n.target.ID})
 	r.order(n)
 }
 
@@ -199,7 +199,7 @@
 	t := n.target
 	n.state = runDoubtful
 	r.halt(n)
-	r.emit(Retire{ID: t.ID})
+	r.emit(CloseIdle{ID: t.ID})
 	r.look(t)
 	if result == Fenced {
 		r.handleFence(t, t.token)
@@ -208,21 +208,21 @@
 
 // turnedDown takes back a run that its target did not begin.
 func (r *Router) turnedDown(t *target, n *run, result StartResult) {
-	if result == Outdated {
+	if result == StaleRun {
 		n.job.tasks[n.task].last += runStride
 	}
 	r.unstarted(n)
 	switch result {
 	case Fenced:
 		r.handleFence(t, t.token)
-	case Belated:
+	case OrderExpired:
 		r.look(t)
-	case Crowded:
+	case NoCapacity:
 		t.barred = later(t.barred, r.now.Add(crowdedFor))
 		r.look(t)
 	case Unhealthy:
 		r.bar(t, unhealthyFor, "unhealthy")
-	case Unsent:
+	case NotSent:
 		t.misses++
 		r.renew(t)
 	case Replaced:
@@ -237,18 +237,18 @@
 	}
 	n.stopAt = r.now
 	n.settled = time.Time{}
-	r.emit(Stop{Target: n.target.Target, Token: n.target.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Timeout: r.Bounds.Prompt})
+	r.emit(Stop{Target: n.target.Target, Token: n.target.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Timeout: r.Bounds.OrderTimeout})
 }
 
 // stopped takes the answer to a stop: the run is over once a list that is asked
 // for from now on lacks it.
-func (r *Router) stopped(e Stopped) {
+func (r *Router) stopped(e StopAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
 	}
 	n := t.runs[e.Task]
-	if n == nil || n.number != e.Run || !e.Good {
+	if n == nil || n.number != e.Run || !e.Acknowledged {
 		return
 	}
 	n.settled = r.now
@@ -273,7 +273,7 @@
 		return
 	}
 	delete(n.target.runs, name)
-	n.target.used = n.target.used.Less(n.need)
+	n.target.used = n.target.used.Minus(n.need)
 	if n.target.used.CPU < 0 {
 		r.violate("room of a target", "%s has %d in use", n.target.ID, n.target.used.CPU)
 	}
@@ -302,36 +302,36 @@
 }
 
 // over ends a run for good.
-func (r *Router) over(n *run, how Manner) {
+func (r *Router) over(n *run, how EndReason) {
 	r.freed(n)
 	j := n.job
 	if n.state != runDoubtful && !j.over {
 		r.judge(n, how)
 	}
-	r.emit(Decide{Action: "end", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Routine: how == Done, Pairs: []any{
+	r.emit(Decision{Action: "end", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Routine: how == EndDone, Pairs: []any{
 		"run", n.number, "how", how, "ran", r.since(n.sent), "state", n.state,
 	}})
-	if how == Done {
+	if how == EndDone {
 		r.learnFrom(n)
 		r.taskDone(j, n.task)
 		return
 	}
-	r.requeue(n, how == Broke)
+	r.requeue(n, how == EndFailed)
 }
 
 // judge counts for and against a target.
-func (r *Router) judge(n *run, how Manner) {
+func (r *Router) judge(n *run, how EndReason) {
 	t := n.target
 	switch how {
-	case Done:
+	case EndDone:
 		r.noteDone(n, r.now.Sub(n.sent))
 		t.failures = 0
 		if !n.slow {
 			t.trial, t.strikes = false, 0
 		}
-	case Broke:
+	case EndFailed:
 		t.failures++
-		if r.uses(Failing) && (t.failures >= failuresToBar || t.trial) {
+		if r.uses(FailingTargetEjection) && (t.failures >= failuresToBar || t.trial) {
 			r.bar(t, barFor, "failing")
 		}
 	}
--- a/internal/router/near.go
+++ b/internal/router/near.go
@@ -48,21 +48,21 @@
 // is given the time of an answer first.
 func (r *Router) silence(p *peer) time.Duration {
 	if p.near && r.isSettled(p) {
-		return r.Bounds.Silence
+		return r.Bounds.PeerTimeout
 	}
 	return r.farSilence()
 }
 
 // isSettled reports whether a near peer has had the time to answer.
-func (r *Router) isSettled(p *peer) bool { return r.now.Sub(p.nearSince) >= r.Bounds.Silence/2 }
+func (r *Router) isSettled(p *peer) bool { return r.now.Sub(p.nearSince) >= r.Bounds.PeerTimeout/2 }
 
 // farSilence returns how long peers that are not near may be unheard.
 func (r *Router) farSilence() time.Duration {
-	return max(r.Bounds.Silence, farRounds*time.Duration(len(r.peers))*r.Bounds.Far)
+	return max(r.Bounds.PeerTimeout, farRounds*time.Duration(len(r.peers))*r.Bounds.BackgroundInterval)
 }
 
 // forgetAfter returns when an unheard peer no longer counts as a member.
-func (r *Router) forgetAfter() time.Duration { return max(r.Bounds.Forget, r.farSilence()) }
+func (r *Router) forgetAfter() time.Duration { return max(r.Bounds.MemberExpiry, r.farSilence()) }
 
 // isPresumedAlive reports whether a peer may be alive as far as is known.
 func (r *Router) isPresumedAlive(p *peer) bool {
@@ -71,7 +71,7 @@
 
 // precede orders candidates for cells: strong hosts first.
 func precede(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(b.Link, a.Link), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.Address, b.Address))
+	return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.Address, b.Address))
 }
 
 // hubs returns the addresses of the hosts that all hosts of a cell stay in close
@@ -108,7 +108,7 @@
 func (r *Router) updateNearPeers() {
 	r.updateSplit()
 	r.hub = r.hubs()
-	r.meshed = r.relatives() <= r.Bounds.Mesh
+	r.meshed = r.relatives() <= r.Bounds.FullMeshHosts
 	for _, p := range r.peers {
 		r.updateNear(p)
 	}
@@ -135,10 +135,10 @@
 
 // beat sends heartbeats when they are due.
 func (r *Router) beat() {
-	if r.now.Sub(r.beaten) >= r.Bounds.Beat {
+	if r.now.Sub(r.beaten) >= r.Bounds.HeartbeatInterval {
 		r.beatNow()
 	}
-	if r.now.Sub(r.beatenFar) >= r.Bounds.Far {
+	if r.now.Sub(r.beatenFar) >= r.Bounds.BackgroundInterval {
 		r.beatenFar = r.now
 		r.beatFar()
 	}
@@ -151,7 +151,7 @@
 	b := r.heartbeat()
 	if r.holds() && r.now.Sub(r.taught) >= teachEvery {
 		r.taught = r.now
-		b.Lessons, b.Speeds = r.lessons()
+		b.Routes, b.Speeds = r.lessons()
 	}
 	claims := r.claims()
 	for _, p := range r.sortedPeers() {
@@ -160,13 +160,13 @@
 		}
 		r.dial(p)
 		to := b
-		to.Echo, to.Near = p.sent, r.needsHeartbeats(p)
+		to.Echo, to.WantsHeartbeats = p.sent, r.needsHeartbeats(p)
 		if !p.claimed.After(r.reclaimed) || r.now.Sub(p.claimed) >= claimsEvery {
 			to.Claims, p.claimed = claims, r.now
 		} else {
-			to.Member = Member{Life: r.Self.Life}
+			to.Member = Member{Incarnation: r.Self.Incarnation}
 		}
-		r.send(p, Message{Beat: &to})
+		r.send(p, Message{Heartbeat: &to})
 	}
 }
 
@@ -190,7 +190,7 @@
 	for _, zone := range sortedKeys(r.cells) {
 		if c := r.cells[zone]; c.claim.Token > 0 && (c.mine || r.related(zone)) {
 			claim := c.claim
-			claim.Row = c.row
+			claim.RowVersion = c.row
 			claims = append(claims, claim)
 		}
 	}
@@ -200,9 +200,9 @@
 // beatTo sends a whole heartbeat to one peer.
 func (r *Router) beatTo(p *peer) {
 	b := r.heartbeat()
-	b.Echo, b.Claims, b.Near = p.sent, r.claims(), r.needsHeartbeats(p)
+	b.Echo, b.Claims, b.WantsHeartbeats = p.sent, r.claims(), r.needsHeartbeats(p)
 	p.claimed = r.now
-	r.send(p, Message{Beat: &b})
+	r.send(p, Message{Heartbeat: &b})
 }
 
 // directoryDue reports whether a peer that lacks the directory in force is sent it now:
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -49,7 +49,7 @@
 	switch {
 	case r.isStuck(n, ran) && r.isSoonerElsewhere(n, ran):
 		r.relocate(n, ran)
-	case percent >= telling && r.uses(HopelessJobs):
+	case percent >= telling && r.uses(EarlyAbort):
 		r.abandonHopeless(n)
 	}
 }
@@ -68,7 +68,7 @@
 // relocate stops a run so that its task starts at another target.
 func (r *Router) relocate(n *run, ran time.Duration) {
 	t := n.target
-	r.emit(Decide{Action: "move", Job: n.job.spec.ID, Task: taskName(n.job.spec.ID, n.task), Target: t.ID, Pairs: []any{
+	r.emit(Decision{Action: "move", Job: n.job.spec.ID, Task: taskName(n.job.spec.ID, n.task), Target: t.ID, Pairs: []any{
 		"percent", n.percent, "ran", ran.Round(time.Millisecond).String(), "expect", n.expect.Round(time.Millisecond).String(),
 	}})
 	n.job.tasks[n.task].avoided = append(n.job.tasks[n.task].avoided, t.ID)
@@ -84,7 +84,7 @@
 	if !end.After(j.deadline) {
 		return
 	}
-	r.emit(Decide{Action: "foresee", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Pairs: []any{
+	r.emit(Decision{Action: "foresee", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Pairs: []any{
 		"percent", n.percent, "total", n.total.Round(time.Millisecond).String(), "left", j.deadline.Sub(r.now).Round(time.Millisecond).String(),
 	}})
 	r.giveUp(j, Expired)
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -68,7 +68,7 @@
 		r.moved(q)
 	}
 	q.holder, q.token, q.sends = h.Address, c.claim.Token, 0
-	r.emit(Decide{Action: "offer", Job: q.job.ID, Routine: true, Pairs: []any{
+	r.emit(Decision{Action: "offer", Job: q.job.ID, Routine: true, Pairs: []any{
 		"holder", h.Name, "token", q.token, "left", q.deadline.Sub(r.now).String(), "resent", len(q.prior) > 0, "tasks", q.job.Count,
 	}})
 	if h.Address == r.Self.Address {
@@ -83,7 +83,7 @@
 // waiting for runs that may have begun.
 func (r *Router) isSuspect(address string) bool {
 	p := r.peers[address]
-	return p != nil && r.now.Sub(p.heard) > r.Bounds.Beat*3/2 && r.uses(SuspectHolders)
+	return p != nil && r.now.Sub(p.heard) > r.Bounds.HeartbeatInterval*3/2 && r.uses(SuspectHolderAvoidance)
 }
 
 // sendOffer offers a request to another host. One that takes over from an earlier
@@ -92,7 +92,7 @@
 func (r *Router) sendOffer(p *peer, q *request) {
 	if len(q.prior) > 0 && p.toldFormer < q.token {
 		p.toldFormer = q.token
-		r.send(p, Message{Former: r.sightings(q.prior)})
+		r.send(p, Message{PreviousTargets: r.sightings(q.prior)})
 	}
 	r.send(p, Message{Offer: r.offerOf(q)})
 }
@@ -101,8 +101,8 @@
 func (r *Router) offerOf(q *request) *Offer {
 	q.sends++
 	return &Offer{
-		Job: q.job, Left: q.deadline.Sub(r.now), Spent: r.now.Sub(q.arrived),
-		Resent: len(q.prior) > 0, Zones: q.prior, Done: q.done, Base: q.base, Stamp: q.arrived.UnixNano(),
+		Job: q.job, TimeLeft: q.deadline.Sub(r.now), Elapsed: r.now.Sub(q.arrived),
+		Reoffered: len(q.prior) > 0, PreviousZones: q.prior, Done: q.done, RunBase: q.base, SubmissionID: q.arrived.UnixNano(),
 	}
 }
 
@@ -150,7 +150,7 @@
 // expire answers a request whose time is over or that no host will serve.
 func (r *Router) expire(q *request, held bool) {
 	late := r.now.After(q.deadline.Add(slack))
-	least := max(q.job.Expect, minLeft)
+	least := max(q.job.ExpectedRunTime, minLeft)
 	since := later(q.arrived, r.cell(r.Self.Zone).absent)
 	hopeless := !held && (r.now.Add(least).After(q.deadline) || r.now.Sub(since) > unheldRetry)
 	if !late && !hopeless {
@@ -158,10 +158,10 @@
 	}
 	v := Verdict{ID: q.job.ID, Outcome: Unknown, Reason: Expired}
 	if !held {
-		v.Reason = Unheld
+		v.Reason = NoHolder
 	}
 	if q.holder == "" && len(q.prior) == 0 {
-		v.Outcome, v.After = Refused, unheldRetry
+		v.Outcome, v.RetryAfter = Refused, unheldRetry
 	}
 	if p := r.peers[q.holder]; p != nil && q.holder != "" {
 		r.send(p, Message{Withdraw: &Withdraw{ID: q.job.ID}})
@@ -172,7 +172,7 @@
 // judged takes the verdict of a holder.
 func (r *Router) judged(holder string, v Verdict) {
 	q := r.requests[v.ID]
-	if q == nil || v.Outcome != Complete && v.Stamp != 0 && v.Stamp != q.arrived.UnixNano() {
+	if q == nil || v.Outcome != Complete && v.SubmissionID != 0 && v.SubmissionID != q.arrived.UnixNano() {
 		return // it was for an earlier submission
 	}
 	if q.holder != holder {
@@ -182,7 +182,7 @@
 		return
 	}
 	switch {
-	case v.Outcome == Elsewhere:
+	case v.Outcome == WrongHolder:
 		// It was not taken; watchRequests offers it to the holder in force. An
 		// earlier offer to the same holder may have been.
 		if q.sends > 1 {
@@ -214,9 +214,9 @@
 // answer ends a request.
 func (r *Router) answer(q *request, v Verdict) {
 	delete(r.requests, q.job.ID)
-	r.emit(Decide{Action: "answer", Job: q.job.ID, Routine: v.Outcome == Complete, Pairs: []any{
+	r.emit(Decision{Action: "answer", Job: q.job.ID, Routine: v.Outcome == Complete, Pairs: []any{
 		"outcome", v.Outcome, "reason", v.Reason, "route", q.job.Route, "spent", r.now.Sub(q.arrived).Round(time.Millisecond).String(),
-		"left", q.deadline.Sub(r.now).Round(time.Millisecond).String(), "after", v.After.String(), "holders", len(q.prior),
+		"left", q.deadline.Sub(r.now).Round(time.Millisecond).String(), "after", v.RetryAfter.String(), "holders", len(q.prior),
 	}})
 	for _, id := range q.ids {
 		delete(r.open, id)
@@ -226,7 +226,7 @@
 
 // progressed notes tasks that are done.
 func (r *Router) progressed(p *Progress) {
-	for _, m := range p.Marks {
+	for _, m := range p.Tasks {
 		if q := r.requests[m.ID]; q != nil {
 			q.begun = true
 			if !slices.Contains(q.done, m.Task) {
@@ -237,7 +237,7 @@
 }
 
 // abandon drops a client that has gone, and its job with the last of them.
-func (r *Router) abandon(e Abandon) {
+func (r *Router) abandon(e ClientGone) {
 	q := r.open[e.Request]
 	if q == nil {
 		return
@@ -267,12 +267,12 @@
 }
 
 // count tells which jobs of this host's clients are open.
-func (r *Router) count(e Count) {
-	p := Pending{Request: e.Request, Unbegun: make(map[string]int), Open: make(map[string]bool)}
+func (r *Router) count(e CountOpen) {
+	p := OpenJobs{Request: e.Request, Unstarted: make(map[string]int), Open: make(map[string]bool)}
 	for id, q := range r.requests {
 		p.Open[id] = q.begun
 		if !q.begun {
-			p.Unbegun[q.job.Route]++
+			p.Unstarted[q.job.Route]++
 		}
 	}
 	r.emit(p)
--- a/internal/router/origin_test.go
+++ b/internal/router/origin_test.go
@@ -21,10 +21,10 @@
 func newBed(t *testing.T) *bed {
 	t.Helper()
 	b := &bed{now: time.Unix(origin, 0)}
-	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
-	b.peer = Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Life: 1, Slot: 1}
+	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
+	b.peer = Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
 	b.step(Tick{})
-	b.step(Enrol{Slot: 2, Life: 1, Members: []Member{b.peer}})
+	b.step(Registered{Slot: 2, SlotUses: 1, Members: []Member{b.peer}})
 	b.hold(1)
 	require.True(t, b.router.reaches(b.router.peers[b.peer.Address]))
 	return b
@@ -39,7 +39,7 @@
 func (b *bed) pass(d time.Duration, generation uint64) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
-		b.now = b.now.Add(b.router.Bounds.Tick)
+		b.now = b.now.Add(b.router.Bounds.TickInterval)
 		all = append(all, b.hold(generation)...)
 		all = append(all, b.step(Tick{})...)
 	}
@@ -48,15 +48,15 @@
 
 // hold hears a heartbeat of the peer, which holds the zone; 0 means no claim.
 func (b *bed) hold(generation uint64) []Effect {
-	beat := &Beat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}
+	beat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}
 	if generation > 0 {
 		beat.Claims = []Claim{{Zone: "north", Token: generation << (slotBits + lifeBits), Holder: b.peer}}
 	}
-	return b.step(Receive{From: b.peer.Address, Message: Message{Beat: beat}})
+	return b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: beat}})
 }
 
 func pair(id string) Job {
-	return Job{ID: id, Route: "r", Service: "work", Count: 2, Need: Room{CPU: 1000, Memory: 1}, Expect: 100 * time.Millisecond, Attempts: 2, Stretch: 1.6}
+	return Job{ID: id, Route: "r", Service: "work", Count: 2, Need: Resources{CPU: 1000, Memory: 1}, ExpectedRunTime: 100 * time.Millisecond, MaxAttempts: 2, Stretch: 1.6}
 }
 
 // offers returns the offers among effects.
@@ -93,11 +93,11 @@
 	b := newBed(t)
 	effects := b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
 	require.Len(t, offers(effects), 1)
-	require.Len(t, offers(b.step(Linked{Address: b.peer.Address})), 1)
-	b.verdict(Verdict{ID: "j", Outcome: Elsewhere})
+	require.Len(t, offers(b.step(LinkOpened{Address: b.peer.Address})), 1)
+	b.verdict(Verdict{ID: "j", Outcome: WrongHolder})
 	again := offers(b.pass(40*time.Millisecond, 1))
 	require.NotEmpty(t, again)
-	assert.True(t, again[0].Resent, "the next offer tells that the job may have begun")
+	assert.True(t, again[0].Reoffered, "the next offer tells that the job may have begun")
 	got := answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload}))
 	require.Len(t, got, 1)
 	assert.Equal(t, Unknown, got[0].Outcome)
@@ -107,14 +107,14 @@
 func TestElsewhere(t *testing.T) {
 	b := newBed(t)
 	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
-	b.verdict(Verdict{ID: "j", Outcome: Elsewhere})
+	b.verdict(Verdict{ID: "j", Outcome: WrongHolder})
 	again := offers(b.pass(40*time.Millisecond, 1))
 	require.NotEmpty(t, again)
-	assert.False(t, again[0].Resent)
-	got := answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, After: time.Second}))
+	assert.False(t, again[0].Reoffered)
+	got := answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, RetryAfter: time.Second}))
 	require.Len(t, got, 1)
 	assert.Equal(t, Refused, got[0].Outcome)
-	assert.Equal(t, time.Second, got[0].After)
+	assert.Equal(t, time.Second, got[0].RetryAfter)
 }
 
 // TestTakeoverIsAwaited: a job that has run for a while is not given up the moment
@@ -123,7 +123,7 @@
 	b := newBed(t)
 	b.step(Submit{Request: 1, Job: pair("j"), Budget: 8 * time.Second})
 	assert.Empty(t, answers(b.pass(2*time.Second, 1)))
-	b.now = b.now.Add(b.router.Bounds.Silence + b.router.Bounds.Tick)
+	b.now = b.now.Add(b.router.Bounds.PeerTimeout + b.router.Bounds.TickInterval)
 	assert.Empty(t, answers(b.step(Tick{})), "the holder has just fallen silent")
 	assert.NotEmpty(t, offers(b.hold(2)), "the job is offered under the new claim")
 }
@@ -132,17 +132,17 @@
 // run within the time of a claim.
 func TestUnheld(t *testing.T) {
 	b := &bed{now: time.Unix(origin, 0)}
-	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
+	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	b.step(Tick{})
 	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
 	var got []Verdict
 	for range 40 {
-		b.now = b.now.Add(b.router.Bounds.Tick)
+		b.now = b.now.Add(b.router.Bounds.TickInterval)
 		got = append(got, answers(b.step(Tick{}))...)
 	}
 	require.Len(t, got, 1)
 	assert.Equal(t, Refused, got[0].Outcome)
-	assert.Positive(t, got[0].After)
+	assert.Positive(t, got[0].RetryAfter)
 }
 
 // TestSharing: a large deployment is not flooded with each new configuration. A
@@ -163,9 +163,9 @@
 		}
 		return configs, directories
 	}
-	configs, directories := sent(b.pass(shareDelay-2*b.router.Bounds.Tick, 1))
+	configs, directories := sent(b.pass(shareDelay-2*b.router.Bounds.TickInterval, 1))
 	assert.Zero(t, configs, "the peer has had no time to read it")
-	more, further := sent(b.pass(shareStagger+4*b.router.Bounds.Tick, 1))
+	more, further := sent(b.pass(shareStagger+4*b.router.Bounds.TickInterval, 1))
 	assert.Equal(t, 1, more)
 	assert.Zero(t, directories+further)
 }
@@ -174,25 +174,25 @@
 // holder that the store names when no other host reaches it either.
 func TestDeadHolderAfterStart(t *testing.T) {
 	for _, held := range []bool{false, true} {
-		r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
-		b := &bed{router: r, now: time.Unix(origin, 0), peer: Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Life: 1, Slot: 3}}
-		gone := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Life: 1, Slot: 1}
+		r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
+		b := &bed{router: r, now: time.Unix(origin, 0), peer: Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 3}}
+		gone := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 1}
 		b.step(Tick{})
 		claim := Claim{Zone: "north", Token: 5 << (slotBits + lifeBits), Holder: gone}
-		b.step(Enrol{Slot: 2, Life: 2, Members: []Member{b.peer, gone}, Claims: []Stored{{Claim: claim, Version: 7}}})
+		b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{b.peer, gone}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
 		var claimed time.Duration
 		for start := b.now; claimed == 0 && b.now.Sub(start) < time.Second; {
-			b.now = b.now.Add(r.Bounds.Tick)
-			beat := &Beat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), Held: held}
-			b.step(Receive{From: b.peer.Address, Message: Message{Beat: beat}})
-			if len(only[Stake](b.step(Tick{}))) > 0 {
+			b.now = b.now.Add(r.Bounds.TickInterval)
+			beat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), ReachesHolder: held}
+			b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: beat}})
+			if len(only[WriteClaims](b.step(Tick{}))) > 0 {
 				claimed = b.now.Sub(start)
 			}
 		}
 		if held {
-			assert.GreaterOrEqual(t, claimed, r.Bounds.Silence)
+			assert.GreaterOrEqual(t, claimed, r.Bounds.PeerTimeout)
 		} else {
-			assert.LessOrEqual(t, claimed, r.Bounds.Silence/2+2*r.Bounds.Tick)
+			assert.LessOrEqual(t, claimed, r.Bounds.PeerTimeout/2+2*r.Bounds.TickInterval)
 		}
 		assert.NotZero(t, claimed)
 	}
@@ -202,13 +202,13 @@
 // its next heartbeat as if they had just come.
 func TestDoubtfulHolder(t *testing.T) {
 	b := newBed(t)
-	b.now = b.now.Add(2 * b.router.Bounds.Beat)
+	b.now = b.now.Add(2 * b.router.Bounds.HeartbeatInterval)
 	assert.Empty(t, offers(b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})))
 	effects := b.hold(1)
-	b.now = b.now.Add(b.router.Bounds.Tick)
+	b.now = b.now.Add(b.router.Bounds.TickInterval)
 	list := offers(append(effects, b.step(Tick{})...))
 	require.Len(t, list, 1)
-	assert.False(t, list[0].Resent)
+	assert.False(t, list[0].Reoffered)
 }
 
 // TestClaimsInHeartbeats: claims go with the next heartbeat once they have changed, and
@@ -217,7 +217,7 @@
 	b := newBed(t)
 	told := func(d time.Duration, generation uint64) (with, all int) {
 		for _, e := range only[Send](b.pass(d, generation)) {
-			if beat := e.Message.Beat; beat != nil {
+			if beat := e.Message.Heartbeat; beat != nil {
 				all++
 				if len(beat.Claims) > 0 {
 					with++
@@ -230,7 +230,7 @@
 	with, all := told(4*time.Second, 1)
 	assert.GreaterOrEqual(t, with, 8)
 	assert.LessOrEqual(t, with, all/4)
-	with, _ = told(b.router.Bounds.Beat, 2)
+	with, _ = told(b.router.Bounds.HeartbeatInterval, 2)
 	assert.Equal(t, 1, with, "the claim has changed")
 }
 
@@ -240,7 +240,7 @@
 	b := newBed(t)
 	require.Len(t, offers(b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})), 1)
 	former := b.peer
-	b.peer = Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Life: 1, Slot: 3}
+	b.peer = Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3}
 	require.Len(t, offers(b.hold(2)), 1)
 	effects := b.step(Receive{From: former.Address, Message: Message{Verdict: &Verdict{ID: "j", Outcome: Complete}}})
 	require.Len(t, answers(effects), 1)
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -55,7 +55,7 @@
 
 // trusts reports whether the jobs of the peer's clients may run on.
 func (r *Router) trusts(p *peer) bool {
-	return !p.echoed.IsZero() && r.now.Sub(p.echoed) <= r.Bounds.Trust
+	return !p.echoed.IsZero() && r.now.Sub(p.echoed) <= r.Bounds.OriginTimeout
 }
 
 func (r *Router) sortedPeers() []*peer {
@@ -93,11 +93,11 @@
 // receive takes a message of a peer.
 func (r *Router) receive(e Receive) {
 	if err := e.Message.Check(); err != nil {
-		r.emit(Decide{Action: "ignore", Pairs: []any{"from", e.From, "kind", e.Message.Kind(), "error", err.Error()}})
+		r.emit(Decision{Action: "ignore", Pairs: []any{"from", e.From, "kind", e.Message.Kind(), "error", err.Error()}})
 		return
 	}
 	p := r.peers[e.From]
-	if b := e.Message.Beat; b != nil {
+	if b := e.Message.Heartbeat; b != nil {
 		r.handleHeartbeat(p, b)
 		return
 	}
@@ -117,24 +117,24 @@
 		r.adopt(m.Config, "peer")
 	case m.Directory != nil:
 		r.handleDirectory(p, *m.Directory)
-	case m.Former != nil:
-		r.handleFormer(m.Former)
+	case m.PreviousTargets != nil:
+		r.handleFormer(m.PreviousTargets)
 	}
 }
 
 // handleHeartbeat takes a heartbeat. A brief one, without the sender's name and address, only
 // says something of the process that the sender is known by.
-func (r *Router) handleHeartbeat(p *peer, b *Beat) {
+func (r *Router) handleHeartbeat(p *peer, b *Heartbeat) {
 	if b.Member.Address != "" {
 		p = r.identify(b.Member)
-	} else if p != nil && b.Member.Life != p.member.Life {
+	} else if p != nil && b.Member.Incarnation != p.member.Incarnation {
 		return
 	}
 	if p == nil {
 		return
 	}
 	p.heard, p.dead, p.severed = r.now, time.Time{}, false
-	if b.Near {
+	if b.WantsHeartbeats {
 		p.asked = r.now
 	}
 	r.updateNear(p)
@@ -142,15 +142,15 @@
 	if echo := time.Unix(0, b.Echo); b.Echo != 0 && echo.After(p.echoed) && !echo.Before(r.started) && !echo.After(r.now) {
 		p.echoed = echo
 	}
-	p.leaving, p.held, p.config, p.directory, p.age = b.Leaving, b.Held, b.Config, b.Directory, b.Age
+	p.leaving, p.held, p.config, p.directory, p.age = b.Leaving, b.ReachesHolder, b.Config, b.Directory, b.DirectoryAge
 	r.generation = max(r.generation, b.Generation)
-	r.countTargets(b.Directory, b.Total)
+	r.countTargets(b.Directory, b.TargetCount)
 	before := r.cell(r.Self.Zone).claim.Token
 	for _, c := range b.Claims {
 		r.learn(c)
 	}
-	if len(b.Lessons) > 0 && !r.holds() {
-		r.study(b.Lessons, b.Speeds)
+	if len(b.Routes) > 0 && !r.holds() {
+		r.study(b.Routes, b.Speeds)
 	}
 	if r.reaches(p) {
 		r.inTouch(p)
@@ -163,12 +163,12 @@
 // identify returns the peer that a heartbeat names, or nil for one of an earlier process.
 func (r *Router) identify(m Member) *peer {
 	p := r.addPeer(m)
-	if p == nil || m.Life < p.member.Life {
+	if p == nil || m.Incarnation < p.member.Incarnation {
 		return nil
 	}
-	if m.Life > p.member.Life && p.met {
+	if m.Incarnation > p.member.Incarnation && p.met {
 		r.lossSeen = r.now
-		r.emit(Decide{Action: "peer", Pairs: []any{"peer", m.Name, "state", "restarted"}})
+		r.emit(Decision{Action: "peer", Pairs: []any{"peer", m.Name, "state", "restarted"}})
 		r.dropOrigin(p.member.Address)
 		*p = peer{heard: r.now, dialled: p.dialled}
 	}
@@ -183,7 +183,7 @@
 	if p.since.IsZero() {
 		p.since = r.now
 		p.met = true
-		r.emit(Decide{Action: "peer", Pairs: []any{"peer", p.member.Name, "zone", p.member.Zone, "state", "reached"}})
+		r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "zone", p.member.Zone, "state", "reached"}})
 	}
 	r.share(p)
 }
@@ -228,7 +228,7 @@
 func (r *Router) shareAfter() time.Duration {
 	before := 0
 	for _, p := range r.peers {
-		if r.reaches(p) && cmp.Or(cmp.Compare(r.Self.Power, p.member.Power), cmp.Compare(p.member.Slot, r.Self.Slot)) < 0 {
+		if r.reaches(p) && cmp.Or(cmp.Compare(r.Self.CPUShare, p.member.CPUShare), cmp.Compare(p.member.Slot, r.Self.Slot)) < 0 {
 			before++
 		}
 	}
@@ -242,14 +242,14 @@
 		if !p.since.IsZero() && !r.reaches(p) {
 			p.since, p.dead = time.Time{}, r.now
 			r.lossSeen = r.now
-			r.emit(Decide{Action: "peer", Pairs: []any{
+			r.emit(Decision{Action: "peer", Pairs: []any{
 				"peer", p.member.Name, "state", "silent", "age", r.now.Sub(p.echoed).String(), "bound", r.silence(p).String(),
 			}})
 		}
 		if p.near && p.dead.IsZero() && r.isSettled(p) && !r.reaches(p) {
 			p.dead = r.now
 		}
-		if p.met && p.near && r.now.Sub(p.echoed) > r.Bounds.Silence*3/4 && r.now.Sub(p.redialled) > r.Bounds.Silence {
+		if p.met && p.near && r.now.Sub(p.echoed) > r.Bounds.PeerTimeout*3/4 && r.now.Sub(p.redialled) > r.Bounds.PeerTimeout {
 			p.redialled = r.now
 			r.emit(Redial{Address: p.member.Address})
 		}
@@ -281,7 +281,7 @@
 		}
 	}
 	for _, j := range r.ended {
-		if j.origin == address && r.jobs[j.spec.ID] == j && j.verdict.Outcome != Elsewhere {
+		if j.origin == address && r.jobs[j.spec.ID] == j && j.verdict.Outcome != WrongHolder {
 			r.tell(address, j.verdict)
 		}
 	}
@@ -297,22 +297,22 @@
 	if r.reaches(p) {
 		p.echoed = p.echoed.Add(-r.silence(p))
 		p.since, r.lossSeen = time.Time{}, r.now
-		r.emit(Decide{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "gone"}})
+		r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "gone"}})
 	}
 }
 
 // forget drops a peer. The holder of its zone's cell also removes it from the store.
 func (r *Router) forget(p *peer) {
 	delete(r.peers, p.member.Address)
-	r.emit(Hangup{Address: p.member.Address})
-	r.emit(Decide{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "forgotten"}})
+	r.emit(CloseLink{Address: p.member.Address})
+	r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "forgotten"}})
 	if c := r.cells[p.member.Zone]; c != nil && c.mine && p.member.Slot > 0 {
-		r.emit(Expel{Member: p.member})
+		r.emit(RemoveMember{Member: p.member})
 	}
 }
 
 // heartbeat returns what this host tells all near peers.
-func (r *Router) heartbeat() Beat {
+func (r *Router) heartbeat() Heartbeat {
 	age := r.now.Sub(r.located)
 	if r.located.IsZero() {
 		age = never
@@ -321,9 +321,9 @@
 	if r.config != nil {
 		version = r.config.Version
 	}
-	return Beat{
-		Member: r.Self, Sent: r.now.UnixNano(), Leaving: !r.leaving.IsZero(), Held: r.holderOf(r.Self.Zone) != nil, Generation: r.generation,
-		Config: version, Directory: r.directory.Version, Total: r.directory.Total, Age: age,
+	return Heartbeat{
+		Member: r.Self, Sent: r.now.UnixNano(), Leaving: !r.leaving.IsZero(), ReachesHolder: r.holderOf(r.Self.Zone) != nil, Generation: r.generation,
+		Config: version, Directory: r.directory.Version, TargetCount: r.directory.Total, DirectoryAge: age,
 	}
 }
 
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -17,7 +17,7 @@
 // precedes reports whether a is placed before b: jobs that are late already come
 // last, and before them those beyond the fair share of their route.
 func (r *Router) precedes(a, b *job) bool {
-	if r.Policy.Order == ByArrival && !a.arrived.Equal(b.arrived) {
+	if r.Policy.QueueOrder == ByArrival && !a.arrived.Equal(b.arrived) {
 		return a.arrived.Before(b.arrived)
 	}
 	if late := r.isLate(a); late != r.isLate(b) {
@@ -156,13 +156,13 @@
 	var best *target
 	bestLeft := 0
 	for _, t := range r.pool {
-		if t.Service != j.spec.Service || !t.Room.Less(t.used).Fits(j.spec.Need) || !t.has(j.spec.Label) {
+		if t.Service != j.spec.Service || !t.Capacity.Minus(t.used).Fits(j.spec.Need) || !t.has(j.spec.Label) {
 			continue
 		}
 		if k.avoids(t.ID) || !r.usable(t) || r.crowds(j, t) || r.cells[t.Zone].isTakenAfter(j) {
 			continue
 		}
-		left := t.Room.Less(t.used)
+		left := t.Capacity.Minus(t.used)
 		score := left.CPU - j.spec.Need.CPU + r.penalty(j, t)
 		if best == nil || score < bestLeft || score == bestLeft && t.ID < best.ID {
 			best, bestLeft = t, score
@@ -202,14 +202,14 @@
 	if j.spec.Rack != "" && !t.has(j.spec.Rack) {
 		penalty += farPenalty
 	}
-	if r.uses(OwnZone) && r.busy < roomy && r.zoneOf(j.origin) != t.Zone {
+	if r.uses(ZoneAffinity) && r.busy < roomy && r.zoneOf(j.origin) != t.Zone {
 		penalty += awayPenalty
 	}
 	expect := r.expectAt(j, t)
 	if r.now.Add(seconds(expect.Seconds()*caution) + travel).After(j.goal) {
 		return penalty + latePenalty + int(expect.Milliseconds())
 	}
-	if !r.uses(FastTargets) {
+	if !r.uses(SpeedAwarePlacement) {
 		return penalty
 	}
 	speed := j.task.Seconds() / max(expect.Seconds(), 1e-3)
@@ -225,7 +225,7 @@
 	for _, t := range r.pool {
 		if r.usable(t) {
 			used += t.used.CPU
-			total += t.Room.CPU
+			total += t.Capacity.CPU
 		}
 	}
 	return float64(used) / float64(max(total, 1))
@@ -236,7 +236,7 @@
 
 // crowds reports whether a target has its share of a job's tasks.
 func (r *Router) crowds(j *job, t *target) bool {
-	if j.spec.Spread <= 0 {
+	if j.spec.MaxPerTarget <= 0 {
 		return false
 	}
 	count := 0
@@ -245,7 +245,7 @@
 			count++
 		}
 	}
-	return count >= j.spec.Spread
+	return count >= j.spec.MaxPerTarget
 }
 
 // start orders a target to run a task.
@@ -273,8 +273,8 @@
 		j.ordered = r.now
 		r.measure(j, Queued, j.offered)
 	}
-	r.emit(Decide{Action: "place", Job: j.spec.ID, Task: name, Target: t.ID, Routine: true, Pairs: []any{
-		"run", n.number, "token", t.token, "free", t.Room.CPU - t.used.CPU, "need", n.need.CPU, "age", r.now.Sub(t.fresh).Round(time.Millisecond).String(),
+	r.emit(Decision{Action: "place", Job: j.spec.ID, Task: name, Target: t.ID, Routine: true, Pairs: []any{
+		"run", n.number, "token", t.token, "free", t.Capacity.CPU - t.used.CPU, "need", n.need.CPU, "age", r.now.Sub(t.fresh).Round(time.Millisecond).String(),
 		"waited", r.now.Sub(j.offered).Round(time.Millisecond).String(),
 	}})
 	r.order(n)
@@ -290,6 +290,6 @@
 	r.hold(t)
 	r.emit(Start{
 		Target: t.Target, Token: t.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Spec: n.job.spec.Spec,
-		Until: t.until(r.now, r.Bounds.Lease), Timeout: r.Bounds.Prompt,
+		LeaseEnd: t.until(r.now, r.Bounds.LeaseDuration), Timeout: r.Bounds.OrderTimeout,
 	})
 }
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -3,62 +3,62 @@
 // Policy chooses between ways to queue and to refuse. The zero value is the one to
 // serve with; the others are there to be measured against it.
 type Policy struct {
-	Order     Order
-	Admission Admission
-	Sharing   Sharing
-	Retries   Retries
-	// Without switches one mechanism off, to measure what it is worth.
-	Without Mechanism
+	QueueOrder QueueOrder
+	Admission  Admission
+	Sharing    Sharing
+	RetryOrder RetryOrder
+	// Disabled switches one mechanism off, to measure what it is worth.
+	Disabled Mechanism
 }
 
 // Mechanism is a part of the policy that can be switched off.
 type Mechanism string
 
 const (
-	// WorkWeights refuses jobs with much work for their route earlier.
-	WorkWeights Mechanism = "weights"
-	// Spells tells refused clients to stay away while overload is expected to last.
-	Spells Mechanism = "spells"
-	// OwnZone keeps tasks in the zone of their client while there is room.
-	OwnZone Mechanism = "zone"
-	// FastTargets uses fast targets first, and keeps them for long tasks once they are scarce.
-	FastTargets Mechanism = "fast"
-	// RunTimes predicts run times from measured ones.
-	RunTimes Mechanism = "times"
-	// KindSpeeds learns how fast each kind of target is.
-	KindSpeeds Mechanism = "speeds"
-	// SlowTargets leaves targets out on which runs take longer than expected.
-	SlowTargets Mechanism = "slow"
-	// Failing leaves targets out on which runs fail.
-	Failing Mechanism = "failures"
-	// HopelessJobs gives jobs up once a run shows that they cannot end in time.
-	HopelessJobs Mechanism = "hopeless"
-	// Repeating orders a start once more that was not answered.
-	Repeating Mechanism = "repeats"
-	// SuspectHolders offers nothing to a holder that has been quiet for more than a heartbeat.
-	SuspectHolders Mechanism = "suspects"
-	// Standby keeps connections to the targets open at the hosts that follow the holder.
-	Standby Mechanism = "standby"
+	// WorkWeighting refuses jobs with much work for their route earlier.
+	WorkWeighting Mechanism = "weights"
+	// OverloadBackoff tells refused clients to stay away while overload is expected to last.
+	OverloadBackoff Mechanism = "spells"
+	// ZoneAffinity keeps tasks in the zone of their client while there is room.
+	ZoneAffinity Mechanism = "zone"
+	// SpeedAwarePlacement uses fast targets first, and keeps them for long tasks once they are scarce.
+	SpeedAwarePlacement Mechanism = "fast"
+	// RunTimePrediction predicts run times from measured ones.
+	RunTimePrediction Mechanism = "times"
+	// KindSpeedLearning learns how fast each kind of target is.
+	KindSpeedLearning Mechanism = "speeds"
+	// SlowTargetEjection leaves targets out on which runs take longer than expected.
+	SlowTargetEjection Mechanism = "slow"
+	// FailingTargetEjection leaves targets out on which runs fail.
+	FailingTargetEjection Mechanism = "failures"
+	// EarlyAbort gives jobs up once a run shows that they cannot end in time.
+	EarlyAbort Mechanism = "hopeless"
+	// StartRetry orders a start once more that was not answered.
+	StartRetry Mechanism = "repeats"
+	// SuspectHolderAvoidance offers nothing to a holder that has been quiet for more than a heartbeat.
+	SuspectHolderAvoidance Mechanism = "suspects"
+	// StandbyConnections keeps connections to the targets open at the hosts that follow the holder.
+	StandbyConnections Mechanism = "standby"
 )
 
 // Mechanisms returns all parts that can be switched off.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		WorkWeights, Spells, OwnZone, FastTargets, RunTimes, KindSpeeds, SlowTargets, Failing, HopelessJobs, Repeating, SuspectHolders, Standby,
+		WorkWeighting, OverloadBackoff, ZoneAffinity, SpeedAwarePlacement, RunTimePrediction, KindSpeedLearning, SlowTargetEjection, FailingTargetEjection, EarlyAbort, StartRetry, SuspectHolderAvoidance, StandbyConnections,
 	}
 }
 
 // uses reports whether a mechanism is in force.
-func (r *Router) uses(m Mechanism) bool { return r.Policy.Without != m }
+func (r *Router) uses(m Mechanism) bool { return r.Policy.Disabled != m }
 
-// Order is which of the waiting jobs comes first.
-type Order string
+// QueueOrder is which of the waiting jobs comes first.
+type QueueOrder string
 
 const (
-	// ByStart places first what must start first, and late jobs last.
-	ByStart Order = ""
+	// ByLatestStart places first what must start first, and late jobs last.
+	ByLatestStart QueueOrder = ""
 	// ByArrival places jobs as they came.
-	ByArrival Order = "arrival"
+	ByArrival QueueOrder = "arrival"
 )
 
 // Admission is which jobs are refused at once.
@@ -77,16 +77,16 @@
 const (
 	// FairShares gives each route what it asks for up to an even level.
 	FairShares Sharing = ""
-	// Unshared lets routes take what they can get.
-	Unshared Sharing = "none"
+	// NoSharing lets routes take what they can get.
+	NoSharing Sharing = "none"
 )
 
-// Retries is how a job is treated whose client has waited for an answer before.
-type Retries string
+// RetryOrder is how a job is treated whose client has waited for an answer before.
+type RetryOrder string
 
 const (
-	// AsLate places it after the jobs that can still be in time.
-	AsLate Retries = ""
-	// AsNew places it as if its client had just come.
-	AsNew Retries = "new"
+	// RetriesLast places it after the jobs that can still be in time.
+	RetriesLast RetryOrder = ""
+	// RetriesAsNew places it as if its client had just come.
+	RetriesAsNew RetryOrder = "new"
 )
--- a/internal/router/reborn_test.go
+++ b/internal/router/reborn_test.go
@@ -13,20 +13,20 @@
 func TestRestartedTarget(t *testing.T) {
 	const oldLife, newLife = 1_000, 2_000
 	for _, listed := range []bool{true, false} {
-		b := newHolderBed(t, 1, Won)
+		b := newHolderBed(t, 1, ClaimWon)
 		old, _ := b.begin("old", Running)
-		effects := b.step(Renewed{
-			Target: old.Target.ID, Token: old.Token, Sent: b.now, Result: Running, Born: oldLife,
-			Clock: Reading{Millis: 900_000, At: b.now}, Running: []Live{{Task: old.Task, Run: old.Run}},
+		effects := b.step(RenewAnswered{
+			Target: old.Target.ID, Token: old.Token, SentAt: b.now, Result: Running, StartedAt: oldLife,
+			Clock: Reading{Millis: 900_000, At: b.now}, Running: []RunningTask{{Task: old.Task, Run: old.Run}},
 		})
 		assert.Empty(t, only[Start](effects))
 		b.now = b.now.Add(50 * time.Millisecond)
 		asked := b.now
 		b.now = b.now.Add(10 * time.Millisecond)
 		fresh, _ := b.begin("fresh", Running) // by the new life
-		answer := Renewed{Target: old.Target.ID, Token: old.Token, Sent: asked, Result: Running, Born: newLife, Clock: Reading{Millis: 30, At: b.now}}
+		answer := RenewAnswered{Target: old.Target.ID, Token: old.Token, SentAt: asked, Result: Running, StartedAt: newLife, Clock: Reading{Millis: 30, At: b.now}}
 		if listed {
-			answer.Running = []Live{{Task: fresh.Task, Run: fresh.Run}}
+			answer.Running = []RunningTask{{Task: fresh.Task, Run: fresh.Run}}
 		}
 		effects = b.step(answer)
 		require.Len(t, only[Start](effects), 1, "the old run is started anew, listed %t", listed)
@@ -39,18 +39,18 @@
 // TestNewLifeInDirectory: when the list of targets tells of a new life, the target is
 // asked what runs there.
 func TestNewLifeInDirectory(t *testing.T) {
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	list := entries(1)
-	list[0].Born = 1_000
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 2, Targets: list}})
+	list[0].StartedAt = 1_000
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 2, Targets: list}})
 	old, _ := b.begin("old", Running)
 	list = entries(1)
-	list[0].Born = 2_000
+	list[0].StartedAt = 2_000
 	b.now = b.now.Add(50 * time.Millisecond)
-	effects := b.step(Locate{Asked: b.now, Directory: Directory{Version: 3, Targets: list}})
+	effects := b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 3, Targets: list}})
 	assert.Empty(t, only[Start](effects))
 	require.Len(t, only[Renew](effects), 1)
-	effects = b.step(Renewed{Target: old.Target.ID, Token: old.Token, Sent: b.now, Look: true, Result: Running, Born: 2_000, Clock: Reading{Millis: 30, At: b.now}})
+	effects = b.step(RenewAnswered{Target: old.Target.ID, Token: old.Token, SentAt: b.now, Poll: true, Result: Running, StartedAt: 2_000, Clock: Reading{Millis: 30, At: b.now}})
 	require.Len(t, only[Start](effects), 1)
 	assert.Equal(t, old.Task, only[Start](effects)[0].Task)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,7 +14,7 @@
 // Router is the state of one entry host. The exported fields are set before the
 // first Step. It is not safe for concurrent use.
 type Router struct {
-	// Self is this process; its slot comes with Enrol.
+	// Self is this process; its slot comes with Registered.
 	Self Member
 	// Bounds are the limits.
 	Bounds Bounds
@@ -62,15 +62,15 @@
 	targets map[string]*target
 	pool    []*target // the targets, by ID
 	ended   []*job    // oldest first
-	marks   map[string][]Mark
-	learned map[string]*history // by route
-	speeds  map[string]*Speed   // by kind of target
-	works   map[string]float64  // mean work of a job, by route
-	shares  map[string]*share   // by route
-	taught  time.Time           // when the others were last told
-	kept    time.Time           // when it was last written to the store
-	dirty   bool                // something may be placed
-	busy    float64             // load of the usable targets
+	marks   map[string][]DoneTask
+	learned map[string]*history   // by route
+	speeds  map[string]*KindSpeed // by kind of target
+	works   map[string]float64    // mean work of a job, by route
+	shares  map[string]*share     // by route
+	taught  time.Time             // when the others were last told
+	kept    time.Time             // when it was last written to the store
+	dirty   bool                  // something may be placed
+	busy    float64               // load of the usable targets
 	// progressive tells that targets tell the progress of runs.
 	progressive bool
 
@@ -103,12 +103,12 @@
 	r.requests = make(map[string]*request)
 	r.jobs = make(map[string]*job)
 	r.targets = make(map[string]*target)
-	r.marks = make(map[string][]Mark)
+	r.marks = make(map[string][]DoneTask)
 	r.learned = make(map[string]*history)
 	r.lost = make(map[string]time.Time)
 	r.former = make(map[string]*sighting)
 	r.warm = make(map[string]time.Time)
-	r.speeds = make(map[string]*Speed)
+	r.speeds = make(map[string]*KindSpeed)
 	r.works = make(map[string]float64)
 	r.shares = make(map[string]*share)
 	r.queue.Less = startsEarlier
@@ -122,31 +122,31 @@
 	switch e := e.(type) {
 	case Tick:
 		r.tick()
-	case Submit, Abandon, Cancel, Count, Inspect:
+	case Submit, ClientGone, Cancel, CountOpen, Inspect:
 		r.serve(e)
 	case Receive:
 		r.receive(e)
 	case Adopt:
 		r.adopt(e.Config, "store")
-	case Locate:
+	case DirectoryRead:
 		r.locate(e)
-	case Unread:
+	case DirectoryReadFailed:
 		r.unread()
-	case Enrol:
+	case Registered:
 		r.enrol(e)
-	case Recall:
+	case LearnedStateRead:
 		r.handleLessons(e)
-	case Claimed:
+	case ClaimsWritten:
 		r.claimed(e)
-	case Began:
+	case StartAnswered:
 		r.began(e)
-	case Stopped:
+	case StopAnswered:
 		r.stopped(e)
-	case Renewed:
+	case RenewAnswered:
 		r.renewed(e)
-	case Linked:
+	case LinkOpened:
 		r.linked(e.Address)
-	case Severed:
+	case PeerExited:
 		r.severed(e.Address)
 	case Drain:
 		r.drain()
@@ -158,11 +158,11 @@
 	switch e := e.(type) {
 	case Submit:
 		r.submit(e)
-	case Abandon:
+	case ClientGone:
 		r.abandon(e)
 	case Cancel:
 		r.cancel(e)
-	case Count:
+	case CountOpen:
 		r.count(e)
 	case Inspect:
 		r.inspect(e)
@@ -189,7 +189,7 @@
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
 func (r *Router) violate(invariant, format string, args ...any) {
-	r.emit(Violate{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
+	r.emit(Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
 // View is the part of the state that other goroutines read.
@@ -200,22 +200,22 @@
 	Ready bool
 	// Lingering tells that the host is shutting down.
 	Lingering bool
-	// Members are the hosts in touch, this one included, and Held the cells of
+	// Members are the hosts in touch, this one included, and HeldCells the cells of
 	// this host.
-	Members, Held int
+	Members, HeldCells int
 	// Waiting and Running count tasks of this host's cells.
 	Waiting, Running int
 	// Open counts requests of this host's clients.
 	Open int
-	// Age is the time since this host read the list of targets.
-	Age time.Duration
-	// Margin is the least time until a lease that something runs under lapses.
-	Margin time.Duration
+	// DirectoryAge is the time since this host read the list of targets.
+	DirectoryAge time.Duration
+	// LeaseMargin is the least time until a lease that something runs under lapses.
+	LeaseMargin time.Duration
 }
 
 // View returns the current view.
 func (r *Router) View() View {
-	v := View{Config: r.config, Lingering: !r.leaving.IsZero(), Members: 1, Open: len(r.open), Margin: r.margin()}
+	v := View{Config: r.config, Lingering: !r.leaving.IsZero(), Members: 1, Open: len(r.open), LeaseMargin: r.margin()}
 	v.Ready = r.config != nil && r.leaving.IsZero() && r.holderOf(r.Self.Zone) != nil
 	for _, p := range r.peers {
 		if r.reaches(p) {
@@ -224,7 +224,7 @@
 	}
 	for _, c := range r.cells {
 		if c.mine {
-			v.Held++
+			v.HeldCells++
 		}
 	}
 	for _, j := range r.queue.Items() {
@@ -234,7 +234,7 @@
 		v.Running += len(t.runs)
 	}
 	if !r.located.IsZero() {
-		v.Age = r.now.Sub(r.located)
+		v.DirectoryAge = r.now.Sub(r.located)
 	}
 	return v
 }
@@ -246,7 +246,7 @@
 	}
 	r.config, r.configured = c, r.now
 	r.forgetRoutes()
-	r.emit(Decide{Action: "configure", Pairs: []any{"version", c.Version, "routes", len(c.Routes), "source", source}})
+	r.emit(Decision{Action: "configure", Pairs: []any{"version", c.Version, "routes", len(c.Routes), "source", source}})
 }
 
 // forgetRoutes drops what was learned of routes that the configuration lacks.
--- a/internal/router/share.go
+++ b/internal/router/share.go
@@ -88,7 +88,7 @@
 func (r *Router) exceeds(j *job, total int) bool {
 	s := r.shareOf(j)
 	s.ask(r.now, j.work())
-	if r.Policy.Sharing == Unshared {
+	if r.Policy.Sharing == NoSharing {
 		return false
 	}
 	level := r.level(s.service, float64(total)*shareFill)
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -35,14 +35,14 @@
 // more than there is, its jobs beyond the share come after those of the others; what
 // was asked for is forgotten.
 func TestExcess(t *testing.T) {
-	b := newHolderBed(t, 4, Won) // 8 cores
+	b := newHolderBed(t, 4, ClaimWon) // 8 cores
 	spec := func(id, route string) Job {
 		j := pair(id)
-		j.Route, j.Count, j.Expect = route, 1, 400*time.Millisecond
+		j.Route, j.Count, j.ExpectedRunTime = route, 1, 400*time.Millisecond
 		return j
 	}
 	accept := func(id, route string) *job {
-		return b.router.accept("10.0.0.1:1", &Offer{Job: spec(id, route), Left: 5 * time.Second})
+		return b.router.accept("10.0.0.1:1", &Offer{Job: spec(id, route), TimeLeft: 5 * time.Second})
 	}
 	excess := 0
 	for i := range 100 {
@@ -67,7 +67,7 @@
 
 // TestRoutesAreForgotten: what was learned of a route goes with it.
 func TestRoutesAreForgotten(t *testing.T) {
-	b := newHolderBed(t, 4, Won)
+	b := newHolderBed(t, 4, ClaimWon)
 	for _, route := range []string{"kept", "gone"} {
 		j := pair(route)
 		j.Route = route
--- a/internal/router/slowdown.go
+++ b/internal/router/slowdown.go
@@ -33,7 +33,7 @@
 // noteSlowdown takes how long a run takes in all, as soon as that shows. It is a sequential test
 // (CUSUM) of whether the target has become slow.
 func (r *Router) noteSlowdown(n *run, total time.Duration) {
-	if n.rated || n.adopted || n.expect <= 0 || total <= 0 || !r.isPredictable(n.job.spec.Route) || !r.uses(SlowTargets) {
+	if n.rated || n.adopted || n.expect <= 0 || total <= 0 || !r.isPredictable(n.job.spec.Route) || !r.uses(SlowTargetEjection) {
 		return
 	}
 	n.rated = true
@@ -96,13 +96,13 @@
 	if n.slow && r.now.Before(n.target.barred) {
 		return true
 	}
-	return r.progressive && n.percent < telling && ran > n.expect+r.Bounds.Stop
+	return r.progressive && n.percent < telling && ran > n.expect+r.Bounds.StopDuration
 }
 
 // isSoonerElsewhere reports whether a run would end much sooner if it were stopped and its
 // task started anew at a sound target, and in time there.
 func (r *Router) isSoonerElsewhere(n *run, ran time.Duration) bool {
 	const clearly = 2 // work is thrown away, and there may be no room
-	elsewhere := r.Bounds.Stop + n.job.expect
+	elsewhere := r.Bounds.StopDuration + n.job.expect
 	return n.leastTotal(ran)-ran > clearly*elsewhere && !r.now.Add(elsewhere).After(n.job.deadline)
 }
--- a/internal/router/slowdown_test.go
+++ b/internal/router/slowdown_test.go
@@ -10,7 +10,7 @@
 // ratedBed is a holder with a route whose run times are known: 100 ms.
 func ratedBed(t *testing.T, targets int) *holderBed {
 	t.Helper()
-	b := newHolderBed(t, targets, Won)
+	b := newHolderBed(t, targets, ClaimWon)
 	b.router.learned["r"] = &history{count: 10 * historyTrust}
 	return b
 }
@@ -65,7 +65,7 @@
 
 // TestUnknownRunTimes: nothing is held against targets before run times are known.
 func TestUnknownRunTimes(t *testing.T) {
-	b := newHolderBed(t, 3, Won)
+	b := newHolderBed(t, 3, ClaimWon)
 	b.ranFor("p", 5, 5)
 	assert.False(t, b.now.Before(b.router.targets["p"].barred))
 }
@@ -76,7 +76,7 @@
 	b := ratedBed(t, 4)
 	p := b.router.targets["p"]
 	for range 10 {
-		b.router.judge(&run{job: &job{spec: pair("j")}, target: p, expect: 100 * time.Millisecond, sent: b.router.now.Add(-500 * time.Millisecond)}, Done)
+		b.router.judge(&run{job: &job{spec: pair("j")}, target: p, expect: 100 * time.Millisecond, sent: b.router.now.Add(-500 * time.Millisecond)}, EndDone)
 	}
 	assert.False(t, b.now.Before(p.barred))
 }
--- a/internal/router/stage.go
+++ b/internal/router/stage.go
@@ -16,24 +16,24 @@
 	Ended Stage = "ended"
 )
 
-// Measure tells how long a stage of a job of some route took.
-type Measure struct {
-	Route string
-	Stage Stage
-	Took  time.Duration
+// StageDuration tells how long a stage of a job of some route took.
+type StageDuration struct {
+	Route    string
+	Stage    Stage
+	Duration time.Duration
 }
 
-func (Measure) effect() {}
+func (StageDuration) effect() {}
 
 // measure emits how long a stage took that began at a moment.
 func (r *Router) measure(j *job, stage Stage, from time.Time) {
-	r.emit(Measure{Route: j.spec.Route, Stage: stage, Took: r.now.Sub(from)})
+	r.emit(StageDuration{Route: j.spec.Route, Stage: stage, Duration: r.now.Sub(from)})
 }
 
 // margin returns the least time until the lease of a held target with runs lapses, or
 // the length of a lease when none runs anything.
 func (r *Router) margin() time.Duration {
-	least := r.Bounds.Lease
+	least := r.Bounds.LeaseDuration
 	for _, t := range r.targets {
 		if len(t.runs) > 0 {
 			least = min(least, t.lapses.Sub(r.now))
--- a/internal/router/standby.go
+++ b/internal/router/standby.go
@@ -20,7 +20,7 @@
 // A takeover sends orders to all targets at once; opening the connections then would take
 // a small processor longer than the takeover itself.
 func (r *Router) standBy() {
-	if r.now.Sub(r.warmed) < warmPause || !r.isSuccessor() || !r.uses(Standby) {
+	if r.now.Sub(r.warmed) < warmPause || !r.isSuccessor() || !r.uses(StandbyConnections) {
 		return
 	}
 	for _, entry := range r.directory.Targets {
@@ -31,7 +31,7 @@
 			continue
 		}
 		r.warm[entry.ID], r.warmed = r.now, r.now
-		r.emit(Warm{Target: entry, Connections: warmConnections, Timeout: warmTimeout})
+		r.emit(WarmUp{Target: entry, Connections: warmConnections, Timeout: warmTimeout})
 		return
 	}
 }
@@ -52,7 +52,7 @@
 	for id := range r.warm {
 		if !listed[id] {
 			delete(r.warm, id)
-			r.emit(Retire{ID: id, Gone: r.targets[id] == nil})
+			r.emit(CloseIdle{ID: id, Gone: r.targets[id] == nil})
 		}
 	}
 }
--- a/internal/router/standby_test.go
+++ b/internal/router/standby_test.go
@@ -10,7 +10,7 @@
 // warmed returns how often connections to each target are opened or used ahead.
 func warmed(effects []Effect) map[string]int {
 	count := make(map[string]int)
-	for _, e := range only[Warm](effects) {
+	for _, e := range only[WarmUp](effects) {
 		count[e.Target.ID]++
 	}
 	return count
@@ -20,7 +20,7 @@
 // few at a time, and keeps them open.
 func TestStandBy(t *testing.T) {
 	b := newSides(t, "n2", "s1")
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 1, Targets: entries(5)}})
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 1, Targets: entries(5)}})
 	assert.LessOrEqual(t, len(warmed(b.touch(warmPause, "n2", "s1"))), 1)
 	b.touch(time.Second, "n2", "s1")
 	again := warmed(b.touch(warmEvery, "n2", "s1"))
@@ -28,7 +28,7 @@
 	for id, count := range again {
 		assert.Equal(t, 1, count, id)
 	}
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 2, Targets: entries(4)}})
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 2, Targets: entries(4)}})
 	assert.Len(t, b.router.warm, 4)
 }
 
@@ -37,10 +37,10 @@
 func TestStandByOfSuccessorsOnly(t *testing.T) {
 	b := newSides(t, "n2", "n3", "s1")
 	b.router.Self.Slot = 99 // n2 and n3 come first
-	b.touch(b.router.Bounds.Beat, "n2", "n3", "s1")
-	b.step(Locate{Asked: b.now, Directory: Directory{Version: 1, Targets: entries(5)}})
+	b.touch(b.router.Bounds.HeartbeatInterval, "n2", "n3", "s1")
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 1, Targets: entries(5)}})
 	assert.Empty(t, warmed(b.touch(time.Second, "n2", "n3", "s1")))
 
-	holder := newHolderBed(t, 5, Won)
+	holder := newHolderBed(t, 5, ClaimWon)
 	assert.Empty(t, warmed(holder.pass(time.Second)))
 }
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -15,11 +15,11 @@
 	Leaving bool `json:"leaving"`
 	// Config is the version of the configuration in force, 0 for none.
 	Config uint64 `json:"config"`
-	// Directory is the version of the list of targets, Listed how many it names, and
-	// Age the time since it was read; -1 means never.
-	Directory uint64        `json:"directory"`
-	Listed    int           `json:"listed"`
-	Age       time.Duration `json:"age"`
+	// Directory is the version of the list of targets, TargetCount how many it names, and
+	// DirectoryAge the time since it was read; -1 means never.
+	Directory    uint64        `json:"directory"`
+	TargetCount  int           `json:"listed"`
+	DirectoryAge time.Duration `json:"age"`
 	// Open counts requests of this host's clients; Waiting and Running count tasks of
 	// the cells that it holds.
 	Open    int           `json:"open"`
@@ -32,10 +32,10 @@
 
 // PeerState is another host.
 type PeerState struct {
-	Host    string `json:"host"`
-	Zone    string `json:"zone"`
-	Reached bool   `json:"reached"`
-	Leaving bool   `json:"leaving"`
+	Host      string `json:"host"`
+	Zone      string `json:"zone"`
+	Reachable bool   `json:"reached"`
+	Leaving   bool   `json:"leaving"`
 	// Age is the time since this host's own clock last came back; -1 means never.
 	Age time.Duration `json:"age"`
 }
@@ -45,45 +45,45 @@
 	Zone   string `json:"zone"`
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
-	// Held tells that the holder is this host or reached, and Absent for how long it
+	// Reachable tells that the holder is this host or reached, and Absent for how long it
 	// has not been.
-	Held   bool          `json:"held"`
-	Absent time.Duration `json:"absent"`
+	Reachable bool          `json:"held"`
+	Absent    time.Duration `json:"absent"`
 }
 
-// Fitness tells whether a target is given tasks.
-type Fitness string
+// TargetStatus tells whether a target is given tasks.
+type TargetStatus string
 
 const (
 	// Usable targets are given tasks, once no run is left there that no job claims.
-	Usable Fitness = "usable"
+	Usable TargetStatus = "usable"
 	// Draining targets are leaving.
-	Draining Fitness = "draining"
+	Draining TargetStatus = "draining"
 	// Unlisted targets are not in the list of targets.
-	Unlisted Fitness = "unlisted"
+	Unlisted TargetStatus = "unlisted"
 	// Unfenced targets have not answered under the holder's token yet.
-	Unfenced Fitness = "unfenced"
-	// Quiet targets have not answered lately.
-	Quiet Fitness = "silent"
-	// Barred targets fail, stand still or are slow; they are left out for a while.
-	Barred Fitness = "barred"
-	// Tried targets are on trial after that: one run at a time.
-	Tried Fitness = "tried"
+	Unfenced TargetStatus = "unfenced"
+	// Unresponsive targets have not answered lately.
+	Unresponsive TargetStatus = "silent"
+	// Ejected targets fail, stand still or are slow; they are left out for a while.
+	Ejected TargetStatus = "barred"
+	// OnTrial targets are on trial after that: one run at a time.
+	OnTrial TargetStatus = "tried"
 )
 
 // TargetState is a target of a cell that the host holds.
 type TargetState struct {
-	ID      string  `json:"id"`
-	Zone    string  `json:"zone"`
-	Service string  `json:"service"`
-	State   Fitness `json:"state"`
-	Used    Room    `json:"used"`
-	Room    Room    `json:"room"`
-	Runs    int     `json:"runs"`
+	ID       string       `json:"id"`
+	Zone     string       `json:"zone"`
+	Service  string       `json:"service"`
+	State    TargetStatus `json:"state"`
+	Used     Resources    `json:"used"`
+	Capacity Resources    `json:"room"`
+	Runs     int          `json:"runs"`
 	// Age is the time since the last good answer was asked for; -1 means never.
 	Age time.Duration `json:"age"`
-	// Barred is for how long it is still left out.
-	Barred time.Duration `json:"barred"`
+	// EjectedFor is for how long it is still left out.
+	EjectedFor time.Duration `json:"barred"`
 }
 
 func (Inspect) event() {}
@@ -94,18 +94,18 @@
 	v := r.View()
 	s := State{
 		Request: e.Request, Host: r.Self.Name, Zone: r.Self.Zone, Slot: r.Self.Slot, Leaving: !r.leaving.IsZero(),
-		Directory: r.directory.Version, Listed: len(r.directory.Targets), Age: r.ageOf(r.located),
+		Directory: r.directory.Version, TargetCount: len(r.directory.Targets), DirectoryAge: r.ageOf(r.located),
 		Open: v.Open, Waiting: v.Waiting, Running: v.Running,
 	}
 	if r.config != nil {
 		s.Config = r.config.Version
 	}
 	for _, p := range r.sortedPeers() {
-		s.Peers = append(s.Peers, PeerState{Host: p.member.Name, Zone: p.member.Zone, Reached: r.reaches(p), Leaving: p.leaving, Age: r.ageOf(p.echoed)})
+		s.Peers = append(s.Peers, PeerState{Host: p.member.Name, Zone: p.member.Zone, Reachable: r.reaches(p), Leaving: p.leaving, Age: r.ageOf(p.echoed)})
 	}
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
-		state := CellState{Zone: zone, Holder: c.claim.Holder.Name, Token: c.claim.Token, Held: r.holderOf(zone) != nil}
+		state := CellState{Zone: zone, Holder: c.claim.Holder.Name, Token: c.claim.Token, Reachable: r.holderOf(zone) != nil}
 		if !c.absent.IsZero() {
 			state.Absent = r.now.Sub(c.absent)
 		}
@@ -114,8 +114,8 @@
 	for _, id := range sortedKeys(r.targets) {
 		t := r.targets[id]
 		s.Targets = append(s.Targets, TargetState{
-			ID: id, Zone: t.Zone, Service: t.Service, State: r.fitness(t), Used: t.used, Room: t.Room, Runs: len(t.runs),
-			Age: r.ageOf(t.fresh), Barred: max(t.barred.Sub(r.now), 0),
+			ID: id, Zone: t.Zone, Service: t.Service, State: r.fitness(t), Used: t.used, Capacity: t.Capacity, Runs: len(t.runs),
+			Age: r.ageOf(t.fresh), EjectedFor: max(t.barred.Sub(r.now), 0),
 		})
 	}
 	r.emit(s)
@@ -130,7 +130,7 @@
 }
 
 // fitness tells whether a target is given tasks, and the first reason why not.
-func (r *Router) fitness(t *target) Fitness {
+func (r *Router) fitness(t *target) TargetStatus {
 	switch {
 	case t.Draining:
 		return Draining
@@ -139,11 +139,11 @@
 	case !t.fenced:
 		return Unfenced
 	case r.quiet(t):
-		return Quiet
+		return Unresponsive
 	case r.now.Before(t.barred):
-		return Barred
+		return Ejected
 	case t.trial:
-		return Tried
+		return OnTrial
 	}
 	return Usable
 }
--- a/internal/router/state_test.go
+++ b/internal/router/state_test.go
@@ -10,7 +10,7 @@
 
 // TestInspect: a holder tells what it believes, and why it uses a target or does not.
 func TestInspect(t *testing.T) {
-	b := newHolderBed(t, 8, Won)
+	b := newHolderBed(t, 8, ClaimWon)
 	b.begin("j", Running)
 	list := b.router.sightings([]string{b.router.Self.Zone})
 	target := func(i int) *target { return b.router.targets[list[i].ID] }
@@ -26,50 +26,50 @@
 	assert.EqualValues(t, 7, s.Request)
 	assert.Equal(t, "a", s.Host)
 	assert.Equal(t, 1, s.Open)
-	assert.Equal(t, 8, s.Listed)
+	assert.Equal(t, 8, s.TargetCount)
 	require.Len(t, s.Cells, 1)
-	assert.True(t, s.Cells[0].Held)
+	assert.True(t, s.Cells[0].Reachable)
 	assert.Equal(t, "a", s.Cells[0].Holder)
-	got := make(map[Fitness]int)
+	got := make(map[TargetStatus]int)
 	runs := 0
 	for _, x := range s.Targets {
 		got[x.State]++
 		runs += x.Runs
 	}
-	assert.Equal(t, map[Fitness]int{Usable: 2, Draining: 1, Unlisted: 1, Unfenced: 1, Quiet: 1, Barred: 1, Tried: 1}, got)
+	assert.Equal(t, map[TargetStatus]int{Usable: 2, Draining: 1, Unlisted: 1, Unfenced: 1, Unresponsive: 1, Ejected: 1, OnTrial: 1}, got)
 	assert.Equal(t, 1, runs)
 }
 
 // TestInspectFresh: a host that has only started knows nothing yet.
 func TestInspectFresh(t *testing.T) {
-	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Life: 1}, Bounds: Standard()}
+	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	states := only[State](r.Step(time.Unix(origin, 0), Inspect{Request: 1}))
 	require.Len(t, states, 1)
-	assert.EqualValues(t, -1, states[0].Age)
+	assert.EqualValues(t, -1, states[0].DirectoryAge)
 	assert.Zero(t, states[0].Slot)
-	assert.False(t, states[0].Cells[0].Held)
+	assert.False(t, states[0].Cells[0].Reachable)
 }
 
 // TestStages: each stage of a job's way is measured once, and the margin of the lease
 // that it runs under is told.
 func TestStages(t *testing.T) {
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	j := pair("j")
 	j.Count = 1
 	effects := b.step(Submit{Request: 1, Job: j, Budget: 5 * time.Second})
 	starts := only[Start](effects)
 	require.Len(t, starts, 1)
 	b.now = b.now.Add(5 * time.Millisecond)
-	effects = append(effects, b.step(Began{Target: starts[0].Target.ID, Task: starts[0].Task, Run: starts[0].Run, Result: Running})...)
-	assert.InDelta(t, 1, b.router.View().Margin.Seconds(), 0.1)
+	effects = append(effects, b.step(StartAnswered{Target: starts[0].Target.ID, Task: starts[0].Task, Run: starts[0].Run, Result: Running})...)
+	assert.InDelta(t, 1, b.router.View().LeaseMargin.Seconds(), 0.1)
 	b.now = b.now.Add(95 * time.Millisecond)
-	end := End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, How: Done}
-	effects = append(effects, b.step(Renewed{Target: starts[0].Target.ID, Token: starts[0].Token, Sent: b.now, Result: Running, Clock: Reading{Millis: 900_000, At: b.now}, Ended: []End{end}})...)
+	end := End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, Reason: EndDone}
+	effects = append(effects, b.step(RenewAnswered{Target: starts[0].Target.ID, Token: starts[0].Token, SentAt: b.now, Result: Running, Clock: Reading{Millis: 900_000, At: b.now}, Ended: []End{end}})...)
 	got := make(map[Stage]time.Duration)
-	for _, m := range only[Measure](effects) {
+	for _, m := range only[StageDuration](effects) {
 		assert.Equal(t, "r", m.Route)
 		assert.NotContains(t, got, m.Stage)
-		got[m.Stage] = m.Took
+		got[m.Stage] = m.Duration
 	}
 	assert.Equal(t, map[Stage]time.Duration{Accepted: 0, Queued: 0, Started: 5 * time.Millisecond, Ended: 100 * time.Millisecond}, got)
 }
