--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -19,7 +19,7 @@
 	acked   int
 	born    int64
 	runs    map[string]*run // by task
-	used    Room
+	used    Resources
 	orphan  map[string]int // number of each run listed there that nobody here knows, by task
 	swept   time.Time      // when orphans were last stopped
 	listing int64          // target's clock of the newest list
@@ -49,7 +49,7 @@
 	task   int
 	number int
 	target *target
-	need   Room
+	need   Resources
 	state  runState
 	sent   time.Time
 	// adopted tells that an earlier holder started the run: its start is not known.
@@ -149,8 +149,8 @@
 	if entry.Draining != t.Draining {
 		r.logTarget(t, "draining")
 	}
-	restarted := entry.Born > t.Born && t.Born > 0 && entry.Born > t.born
-	t.born = max(t.born, t.Born) // its next list tells of the new life
+	restarted := entry.StartedAt > t.StartedAt && t.StartedAt > 0 && entry.StartedAt > t.born
+	t.born = max(t.born, t.StartedAt) // its next list tells of the new life
 	t.Target, t.listed = entry, true
 	if restarted {
 		r.look(t)
@@ -164,7 +164,7 @@
 
 // logTarget logs a change of what is believed of a target.
 func (r *Router) logTarget(t *target, state string, pairs ...any) {
-	r.emit(Decide{Action: "target", Target: t.ID, Pairs: append([]any{"state", state, "runs", len(t.runs), "age", r.since(t.fresh)}, pairs...)})
+	r.emit(Decision{Action: "target", Target: t.ID, Pairs: append([]any{"state", state, "runs", len(t.runs), "age", r.since(t.fresh)}, pairs...)})
 }
 
 // reborn begins a new life of a target. Its list tells what has survived: runs that
@@ -180,7 +180,7 @@
 // leave stops using a target whose cell another host holds. The next holder
 // takes over its runs or stops them.
 func (r *Router) leave(t *target) {
-	gone := r.now.Add(r.Bounds.Lease + r.Bounds.Orphan + 2*r.Bounds.Stop)
+	gone := r.now.Add(r.Bounds.LeaseDuration + r.Bounds.OrphanGrace + 2*r.Bounds.StopDuration)
 	for _, name := range sortedKeys(t.runs) {
 		n := t.runs[name]
 		r.detach(n.job, n.task, gone)
@@ -208,7 +208,7 @@
 
 // quiet reports whether a target has not answered lately.
 func (r *Router) quiet(t *target) bool {
-	return t.misses > 0 || r.now.Sub(t.fresh) > r.Bounds.Idle+r.Bounds.Order
+	return t.misses > 0 || r.now.Sub(t.fresh) > r.Bounds.IdleRenewInterval+r.Bounds.RenewTimeout
 }
 
 // until returns the end of a lease that begins now, on the target's clock.
@@ -221,7 +221,7 @@
 
 // hold notes that an order extends the target's lease.
 func (r *Router) hold(t *target) {
-	end := r.now.Add(r.Bounds.Lease + time.Duration(float64(r.Bounds.Lease)*r.Bounds.Drift) + lapseSlack)
+	end := r.now.Add(r.Bounds.LeaseDuration + time.Duration(float64(r.Bounds.LeaseDuration)*r.Bounds.MaxClockDrift) + lapseSlack)
 	if end.After(t.lapses) {
 		t.lapses = end
 	}
@@ -239,7 +239,7 @@
 	if t.waiting || r.now.Before(t.next) {
 		return
 	}
-	wait := r.Bounds.Wait
+	wait := r.Bounds.RenewWait
 	if !t.fenced || t.misses > 0 || len(t.runs) == 0 {
 		wait = 0
 	}
@@ -264,22 +264,22 @@
 	if len(t.orphan) == 0 && t.misses == 0 {
 		// Orphans would run on, and what runs at a silent target could not
 		// start elsewhere.
-		until = t.until(r.now, r.Bounds.Lease)
+		until = t.until(r.now, r.Bounds.LeaseDuration)
 		r.hold(t)
 	}
 	r.emit(Renew{
-		Target: t.Target, Token: t.token, Acked: t.acked, Until: until,
-		Wait: wait, Timeout: wait + r.Bounds.Order, Look: look,
+		Target: t.Target, Token: t.token, Acked: t.acked, LeaseEnd: until,
+		Wait: wait, Timeout: wait + r.Bounds.RenewTimeout, Poll: look,
 	})
 }
 
 // renewed takes the answer to a renewal.
-func (r *Router) renewed(e Renewed) {
+func (r *Router) renewed(e RenewAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
 	}
-	if e.Look {
+	if e.Poll {
 		t.looks = max(t.looks-1, 0)
 	} else {
 		t.waiting = false
@@ -297,7 +297,7 @@
 	case Replaced:
 		r.replaced(t)
 	default:
-		r.missed(t, e.Sent)
+		r.missed(t, e.SentAt)
 	}
 	if t.again {
 		r.look(t)
@@ -313,7 +313,7 @@
 	case len(t.runs) > 0 || len(t.orphan) > 0:
 		t.next = time.Time{}
 	default:
-		t.next = r.now.Add(r.Bounds.Idle)
+		t.next = r.now.Add(r.Bounds.IdleRenewInterval)
 	}
 	r.renew(t)
 }
@@ -327,14 +327,14 @@
 	if t.misses == 1 {
 		r.logTarget(t, "silent", "lapses", t.lapses.Sub(r.now).String())
 	}
-	r.emit(Retire{ID: t.ID})
+	r.emit(CloseIdle{ID: t.ID})
 }
 
 // replaced notes that another process answers at a target's address.
 func (r *Router) replaced(t *target) {
 	r.logTarget(t, "replaced")
 	for _, name := range sortedKeys(t.runs) {
-		r.over(t.runs[name], Lapsed)
+		r.over(t.runs[name], EndLeaseExpired)
 	}
 	t.fenced, t.misses = false, t.misses+1
 }
@@ -348,10 +348,10 @@
 		if r.now.After(t.lapses) && len(t.runs) > 0 {
 			r.lapse(t)
 		}
-		if !t.listed && len(t.runs) == 0 && r.now.Sub(t.unlisted) > r.Bounds.Lease && r.former[id] == nil {
+		if !t.listed && len(t.runs) == 0 && r.now.Sub(t.unlisted) > r.Bounds.LeaseDuration && r.former[id] == nil {
 			r.logTarget(t, "forgotten")
 			r.drop(t)
-			r.emit(Retire{ID: id, Gone: true})
+			r.emit(CloseIdle{ID: id, Gone: true})
 			continue
 		}
 		r.renew(t)
@@ -369,9 +369,9 @@
 	r.logTarget(t, "lapsed")
 	t.fenced = false
 	for _, name := range sortedKeys(t.runs) {
-		r.over(t.runs[name], Lapsed)
+		r.over(t.runs[name], EndLeaseExpired)
 	}
-	r.emit(Retire{ID: t.ID})
+	r.emit(CloseIdle{ID: t.ID})
 }
 
 // retryStops repeats orders that have had no effect yet.
--- a/internal/router/timeouts.go
+++ b/internal/router/timeouts.go
@@ -55,7 +55,7 @@
 // once, such jobs come together with new ones, and nothing else tells them apart. At other
 // times a short timeout only tells that a client is in a hurry.
 func (r *Router) hasWaited(j *job) bool {
-	if r.Policy.Retries == AsNew {
+	if r.Policy.RetryOrder == RetriesAsNew {
 		return false
 	}
 	t := &r.historyOf(j.spec.Route).timeouts
--- a/internal/router/timeouts_test.go
+++ b/internal/router/timeouts_test.go
@@ -44,7 +44,7 @@
 // TestRetryComesLast: a job whose client has waited before starts after one that came
 // later, and starts at once while there is room.
 func TestRetryComesLast(t *testing.T) {
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	b.router.historyOf("r").timeouts = *timeoutsOf(2*time.Second, 100*time.Millisecond)
 	started := func(id string) bool { return b.router.jobs[id].begun }
 	b.step(Submit{Request: 1, Job: pair("retry"), Budget: 700 * time.Millisecond})
@@ -56,7 +56,7 @@
 
 // TestClientsInAHurry: while no host was lost, a short timeout is no sign of an earlier try.
 func TestClientsInAHurry(t *testing.T) {
-	b := newHolderBed(t, 1, Won)
+	b := newHolderBed(t, 1, ClaimWon)
 	known := *timeoutsOf(2*time.Second, 100*time.Millisecond)
 	submit := func(id string) bool {
 		b.router.historyOf("r").timeouts = known
@@ -67,6 +67,6 @@
 	b.now = b.now.Add(retrySpan)
 	assert.False(t, submit("hurry"))
 	b.neighbour("10.0.0.9:1")
-	b.step(Severed{Address: "10.0.0.9:1"})
+	b.step(PeerExited{Address: "10.0.0.9:1"})
 	assert.True(t, submit("again"))
 }
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -13,7 +13,7 @@
 	d := Directory{Version: 5}
 	for _, zone := range []string{"north", "south"} {
 		for i := range count {
-			d.Targets = append(d.Targets, Target{ID: fmt.Sprint(zone, i), Zone: zone, Service: "work", Room: Room{CPU: 2000}})
+			d.Targets = append(d.Targets, Target{ID: fmt.Sprint(zone, i), Zone: zone, Service: "work", Capacity: Resources{CPU: 2000}})
 		}
 	}
 	return d
@@ -21,9 +21,9 @@
 
 // beatFrom brings a heartbeat of a host of another zone, in touch.
 func (b *bed) beatFrom(zone, address string, directory uint64, total int) []Effect {
-	return b.step(Receive{From: address, Message: Message{Beat: &Beat{
-		Member: Member{Name: address, Zone: zone, Address: address, Life: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
-		Directory: directory, Total: total, Near: true,
+	return b.step(Receive{From: address, Message: Message{Heartbeat: &Heartbeat{
+		Member: Member{Name: address, Zone: zone, Address: address, Incarnation: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
+		Directory: directory, TargetCount: total, WantsHeartbeats: true,
 	}}})
 }
 
@@ -31,9 +31,9 @@
 // zone, passes them on within the zone only, and does not take the list of another zone
 // for its own.
 func TestListsOfZones(t *testing.T) {
-	b := newHolderBed(t, 2, Won)
-	count := b.router.Bounds.Split
-	b.step(Locate{Asked: b.now, Directory: many(count)})
+	b := newHolderBed(t, 2, ClaimWon)
+	count := b.router.Bounds.MaxSharedTargets
+	b.step(DirectoryRead{RequestedAt: b.now, Directory: many(count)})
 	assert.Len(t, b.router.directory.Targets, count)
 	assert.Equal(t, 2*count, b.router.directory.Total)
 
@@ -59,9 +59,9 @@
 // has a holder of its own, and then reads the list itself although a host of another
 // zone has read it.
 func TestTotalIsHeardOf(t *testing.T) {
-	b := newHolderBed(t, 2, Won)
+	b := newHolderBed(t, 2, ClaimWon)
 	assert.False(t, b.router.split)
-	b.beatFrom("south", "10.0.0.7:1", 7, b.router.Bounds.Split+1)
+	b.beatFrom("south", "10.0.0.7:1", 7, b.router.Bounds.MaxSharedTargets+1)
 	assert.True(t, b.router.split)
 	assert.False(t, b.router.readElsewhere())
 }
