--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -6,148 +6,148 @@
 )
 
 const (
-	// widestFactor bounds the extra time of the longest of many tasks: at a spread of
+	// taskCountFactor bounds the extra time of the longest of many tasks: at a spread of
 	// 15 % within a job, the longest of 8 takes 1.2 times the mean.
-	widestFactor = 0.1
-	// travel is the time of the messages around a job's work: two hops between
+	taskCountFactor = 0.1
+	// networkOverhead is the time of the messages around a job's work: two hops between
 	// zones, an order and an answer.
-	travel = 12 * time.Millisecond
+	networkOverhead = 12 * time.Millisecond
 	// lateFactor is how many times the objective an answer may take and still
 	// be of some use to the client.
 	lateFactor = 3
-	// packing is the part of the targets' processors that a job can count on
+	// queuePackingRatio is the part of the targets' processors that a job can count on
 	// for the work before it: jobs that come later and must start sooner take
 	// their part as well.
-	packing = 0.4
-	// ownPacking is the part that tasks of like size can fill.
-	ownPacking = 0.8
-	// minRetry and maxRetry bound when a refused client may come back.
-	minRetry = 100 * time.Millisecond
-	maxRetry = 3 * time.Second
+	queuePackingRatio = 0.4
+	// ownPackingRatio is the part that tasks of like size can fill.
+	ownPackingRatio = 0.8
+	// minRetryAfter and maxRetry bound when a refused client may come back.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// plan sets when a job's tasks must start.
-func (r *Router) plan(j *job) {
-	j.task = r.predict(&j.spec)
-	wide := 1 + widestFactor*math.Log(float64(max(j.spec.Count, 1)))
-	j.expect = seconds(j.task.Seconds()*wide) + travel
+// planStart sets when a job's tasks must start.
+func (r *Router) planStart(j *job) {
+	j.taskRunTime = r.predictRunTime(&j.spec)
+	wide := 1 + taskCountFactor*math.Log(float64(max(j.spec.Count, 1)))
+	j.expectedRunTime = seconds(j.taskRunTime.Seconds()*wide) + networkOverhead
 	stretch := max(j.spec.Stretch, 1)
-	goal := j.arrived.Add(seconds(j.expect.Seconds()*stretch) + j.spec.Allowance)
+	goal := j.arrivedAt.Add(seconds(j.expectedRunTime.Seconds()*stretch) + j.spec.Allowance)
 	if goal.After(j.deadline) {
 		goal = j.deadline
 	}
-	j.goal, j.latest = goal, goal.Add(-j.expect)
+	j.dueAt, j.latestStart = goal, goal.Add(-j.expectedRunTime)
 }
 
-// last returns the last moment at which starting the job is of any use.
-func (j *job) last() time.Time {
-	end := j.arrived.Add(lateFactor * j.goal.Sub(j.arrived))
+// lastUsefulStart returns the last moment at which starting the job is of any use.
+func (j *job) lastUsefulStart() time.Time {
+	end := j.arrivedAt.Add(lateFactor * j.dueAt.Sub(j.arrivedAt))
 	if end.After(j.deadline) {
 		end = j.deadline
 	}
-	return end.Add(-j.expect)
+	return end.Add(-j.expectedRunTime)
 }
 
 // admit decides whether a job is taken. It is refused at once when it fits no
 // target, or cannot be in time behind the work that goes first.
 func (r *Router) admit(j *job) (Verdict, bool) {
 	v := Verdict{ID: j.spec.ID, Outcome: Refused}
-	if !r.fitsAny(&j.spec) {
+	if !r.fitsAnyTarget(&j.spec) {
 		v.Outcome, v.Reason = Failed, DoesNotFit
 		return v, true
 	}
-	if j.begun || j.resent || r.Policy.Admission == AdmitAll {
+	if j.mayHaveStarted || j.reoffered || r.Policy.Admission == AdmitAll {
 		return v, false
 	}
 	free, total := r.capacity(&j.spec)
-	j.excess = r.exceeds(j, total)
-	wait := seconds(r.backlog(j, free, total).Seconds() * r.weight(j))
-	until := j.latest
+	j.exceedsShare = r.exceedsFairShare(j, total)
+	wait := seconds(r.estimateWait(j, free, total).Seconds() * r.waitWeight(j))
+	latestStart := j.latestStart
 	if r.isLate(j) {
-		until = j.last()
+		latestStart = j.lastUsefulStart()
 	}
-	if r.now.Add(wait).After(until) {
-		spell := r.shareOf(j).refuse(r.now)
-		if !r.uses(OverloadBackoff) {
-			spell = 0
+	if r.now.Add(wait).After(latestStart) {
+		backoff := r.shareOf(j).recordRefusal(r.now)
+		if !r.isEnabled(OverloadBackoff) {
+			backoff = 0
 		}
-		v.Reason, v.RetryAfter = Overload, min(max(r.now.Add(wait).Sub(j.latest), spell, minRetry), maxRetry)
+		v.Reason, v.RetryAfter = Overload, min(max(r.now.Add(wait).Sub(j.latestStart), backoff, minRetryAfter), maxRetryAfter)
 		return v, true
 	}
-	r.shareOf(j).credit -= j.work()
+	r.shareOf(j).workBudget -= j.pendingWork()
 	return v, false
 }
 
-// weight returns how a job's wait is weighed: one with much work for its route is
+// waitWeight returns how a job's wait is weighed: one with much work for its route is
 // refused earlier, since the same work completes several smaller ones.
-func (r *Router) weight(j *job) float64 {
-	work := float64(j.spec.Count) * j.task.Seconds() * float64(j.spec.Need.CPU)
-	mean := r.works[j.spec.Route]
+func (r *Router) waitWeight(j *job) float64 {
+	work := float64(j.spec.Count) * j.taskRunTime.Seconds() * float64(j.spec.Need.CPU)
+	mean := r.meanWorkByRoute[j.spec.Route]
 	if mean == 0 {
 		mean = work
 	}
-	r.works[j.spec.Route] = mean + (work-mean)/workWindow
-	if !r.uses(WorkWeighting) {
+	r.meanWorkByRoute[j.spec.Route] = mean + (work-mean)/workWindow
+	if !r.isEnabled(WorkWeighting) {
 		return 1
 	}
-	return min(baseShare+(1-baseShare)*work/mean, mostShare)
+	return min(baseWaitWeight+(1-baseWaitWeight)*work/mean, maxWaitWeight)
 }
 
 const (
 	// workWindow is the number of jobs over which a route's mean work forgets.
 	workWindow = 100
-	// baseShare is the part of the weight that does not depend on the work.
-	baseShare = 0.4
-	// mostShare bounds the weight, so that large jobs are served at least half
+	// baseWaitWeight is the part of the weight that does not depend on the work.
+	baseWaitWeight = 0.4
+	// maxWaitWeight bounds the weight, so that large jobs are served at least half
 	// as often as others.
-	mostShare = 1.7
+	maxWaitWeight = 1.7
 )
 
-// fitsAny reports whether a task of the job fits a known target of its service,
+// fitsAnyTarget reports whether a task of the job fits a known target of its service,
 // were it idle. While no target is known, it might.
-func (r *Router) fitsAny(spec *Job) bool {
+func (r *Router) fitsAnyTarget(spec *Job) bool {
 	known := false
 	for _, t := range r.directory.Targets {
 		if t.Service != spec.Service {
 			continue
 		}
 		known = true
-		if t.Capacity.Fits(spec.Need) && t.has(spec.Label) {
+		if t.Capacity.Fits(spec.Need) && t.hasLabel(spec.Label) {
 			return true
 		}
 	}
 	return !known
 }
 
-// backlog returns how long a job's last task would wait behind the queue, with room
+// estimateWait returns how long a job's last task would wait behind the queue, with room
 // for so many tasks of it now and so much processor in total.
-func (r *Router) backlog(j *job, free, total int) time.Duration {
-	work := j.work() * packing / ownPacking
+func (r *Router) estimateWait(j *job, free, total int) time.Duration {
+	work := j.pendingWork() * queuePackingRatio / ownPackingRatio
 	ahead := 0
 	for _, other := range r.queue.Items() {
-		if other.spec.Service == j.spec.Service && r.precedes(other, j) && !r.quarantined(other) {
-			ahead += other.waiting
-			work += other.work()
+		if other.spec.Service == j.spec.Service && r.isPlacedBefore(other, j) && !r.isQuarantined(other) {
+			ahead += other.waitingCount
+			work += other.pendingWork()
 		}
 	}
-	if free >= ahead+j.waiting {
+	if free >= ahead+j.waitingCount {
 		return 0
 	}
 	if total == 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
-	return seconds(work / (float64(total) * packing))
+	return seconds(work / (float64(total) * queuePackingRatio))
 }
 
 // capacity returns how many tasks of the job could start now, and the processors
 // of all targets that could run it, in thousandths of a core.
 func (r *Router) capacity(spec *Job) (free, total int) {
-	for _, t := range r.pool {
-		if t.Service != spec.Service || !r.soon(t) {
+	for _, t := range r.sortedTargets {
+		if t.Service != spec.Service || !r.isSoonUsable(t) {
 			continue
 		}
-		total += int(float64(t.Capacity.CPU) / r.speed(t.kind()))
-		if t.fenced && !r.usable(t) {
+		total += int(float64(t.Capacity.CPU) / r.speedFactor(t.kind()))
+		if t.fenced && !r.isUsable(t) {
 			continue
 		}
 		left := t.Capacity.Minus(t.used)
@@ -158,27 +158,27 @@
 	return free, total
 }
 
-// soon reports whether a target may be given tasks now or within a moment: after
+// isSoonUsable reports whether a target may be given tasks now or within a moment: after
 // a change of the holder, targets are asked first what they run.
-func (r *Router) soon(t *target) bool {
-	young := r.now.Sub(r.cells[t.Zone].acquired) < r.Bounds.PeerTimeout
-	return t.listed && !t.Draining && (t.fenced || young) && (t.misses == 0 || young) && (!r.now.Before(t.barred) || !t.trial)
+func (r *Router) isSoonUsable(t *target) bool {
+	young := r.now.Sub(r.cells[t.Zone].acquiredAt) < r.Bounds.PeerTimeout
+	return t.listed && !t.Draining && (t.fenced || young) && (t.missedRenewals == 0 || young) && (!r.now.Before(t.ejectedUntil) || !t.onTrial)
 }
 
-// reconsider gives up a queued job that has become hopeless.
-func (r *Router) reconsider(j *job) {
-	last := j.last()
+// recheckQueuedJob gives up a queued job that has become hopeless.
+func (r *Router) recheckQueuedJob(j *job) {
+	last := j.lastUsefulStart()
 	switch {
-	case j.resent && !r.isCleared(j):
+	case j.reoffered && !r.isQuarantineOver(j):
 		// Its other tasks may still be found running for a moment; after that
 		// they cannot start before the quarantine is over.
-		if r.now.Sub(j.offered) > r.Bounds.OrphanGrace && j.cleared.After(last) {
-			r.giveUp(j, Expired)
+		if r.now.Sub(j.offeredAt) > r.Bounds.OrphanGrace && j.quarantinedUntil.After(last) {
+			r.abortJob(j, Expired)
 		}
 	case r.now.After(last):
-		r.giveUp(j, Expired)
-	case r.Policy.Admission == ByBacklog && !j.begun && !j.resent && r.isLate(j) && r.isContended(j):
-		r.giveUp(j, Overload)
+		r.abortJob(j, Expired)
+	case r.Policy.Admission == ByBacklog && !j.mayHaveStarted && !j.reoffered && r.isLate(j) && r.isContended(j):
+		r.abortJob(j, Overload)
 	}
 }
 
@@ -193,11 +193,11 @@
 	return false
 }
 
-// giveUp ends a job: as refused while no task has started, as failed otherwise.
-func (r *Router) giveUp(j *job, reason Reason) {
-	v := Verdict{Outcome: Refused, Reason: reason, RetryAfter: minRetry}
-	if j.begun {
+// abortJob ends a job: as refused while no task has started, as failed otherwise.
+func (r *Router) abortJob(j *job, reason Reason) {
+	v := Verdict{Outcome: Refused, Reason: reason, RetryAfter: minRetryAfter}
+	if j.mayHaveStarted {
 		v = Verdict{Outcome: Failed, Reason: reason}
 	}
-	r.end(j, v)
+	r.endJob(j, v)
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -16,7 +16,7 @@
 
 func benchTask(b *testing.B, targets int) {
 	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
-	now := time.Unix(origin, 0)
+	now := time.Unix(testEpoch, 0)
 	step := func(e Event) []Effect { return r.Step(now, e) }
 	step(Tick{})
 	step(Registered{Slot: 1, SlotUses: 1})
@@ -26,17 +26,17 @@
 	}
 	step(DirectoryRead{RequestedAt: now, Directory: Directory{Version: 1, Targets: list}})
 	now = now.Add(r.Bounds.StartupDelay + r.Bounds.TickInterval)
-	stake := only[WriteClaims](step(Tick{}))[0]
-	for _, e := range only[Renew](step(ClaimsWritten{Token: stake.Token, Result: ClaimWon, Rows: stake.Rows})) {
+	claimWrite := effectsOf[WriteClaims](step(Tick{}))[0]
+	for _, e := range effectsOf[Renew](step(ClaimsWritten{Token: claimWrite.Token, Result: ClaimWon, Rows: claimWrite.Rows})) {
 		step(RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: now, Result: Running, Clock: Reading{Millis: 1, At: now}})
 	}
 	number := 0
-	run := func() {
+	runTask := func() {
 		number++
 		now = now.Add(time.Microsecond)
-		j := pair(fmt.Sprintf("%016x", number))
+		j := twoTaskJob(fmt.Sprintf("%016x", number))
 		j.Count = 1
-		starts := only[Start](step(Submit{Request: uint64(number), Job: j, Budget: time.Hour}))
+		starts := effectsOf[Start](step(Submit{Request: uint64(number), Job: j, Budget: time.Hour}))
 		if len(starts) != 1 {
 			b.Fatal("the task was not started")
 		}
@@ -45,15 +45,15 @@
 		t := r.targets[s.Target.ID]
 		step(RenewAnswered{
 			Target: t.ID, Token: t.token, SentAt: now, Result: Running, Clock: Reading{Millis: int64(number), At: now},
-			Ended: []End{{Number: t.acked + 1, Task: s.Task, Run: s.Run, Reason: EndDone}},
+			Ended: []End{{Number: t.lastAckedEnd + 1, Task: s.Task, Run: s.Run, Reason: EndDone}},
 		})
 		for _, x := range r.targets {
-			x.fresh = now
+			x.lastConfirmedAt = now
 		}
 	}
 	b.ResetTimer()
 	for range b.N {
-		run()
+		runTask()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N), "µs/task")
 }
--- a/internal/router/cell.go
+++ b/internal/router/cell.go
@@ -4,43 +4,43 @@
 
 // cell is the targets of one availability zone, under one holder.
 type cell struct {
-	zone  string
-	claim Claim
-	row   uint64 // version of the claim's row in the store
-	mine  bool
-	// acquired is when this host became the holder.
-	acquired time.Time
-	absent   time.Time // since when no live holder is known
-	retry    time.Time // no claim before
-	backoff  time.Duration
-	rivals   time.Time // since when the holder should be another
-	fenced   bool      // targets obey a token that is not known here
-	learned  time.Time // when the claim in force was heard of
+	zone       string
+	claim      Claim
+	rowVersion uint64 // version of the claim's row in the store
+	heldHere   bool
+	// acquiredAt is when this host became the holder.
+	acquiredAt       time.Time
+	holderlessSince  time.Time // since when no live holder is known
+	noClaimUntil     time.Time // no claim before
+	claimBackoff     time.Duration
+	mergeWantedSince time.Time // since when the holder should be another
+	fenced           bool      // targets obey a token that is not known here
+	claimReceivedAt  time.Time // when the claim in force was heard of
 	// unwritten tells that the store has not taken the claim yet; published is
 	// when it was last told.
-	unwritten bool
-	published time.Time
+	unwritten   bool
+	lastWriteAt time.Time
 }
 
 const (
 	// slotBits and lifeBits are the parts of a token below the generation: the
 	// member's slot, and its lives, so that no two processes share a token.
-	slotBits = 16
-	lifeBits = 10
-	// lossDelay is the time from the loss of a cell to the end of its jobs: two
+	slotBits    = 16
+	slotUseBits = 10
+	// lostJobsDropDelay is the time from the loss of a cell to the end of its jobs: two
 	// heartbeats.
-	lossDelay = 200 * time.Millisecond
+	lostJobsDropDelay = 200 * time.Millisecond
 )
 
-// token returns the token of this process in a generation. No two processes
+// tokenFor returns the token of this process in a generation. No two processes
 // share one.
-func (r *Router) token(generation uint64) uint64 {
-	own := uint64(r.Self.Slot)<<lifeBits | uint64(r.life)&(1<<lifeBits-1)
-	return generation<<(slotBits+lifeBits) | own
+func (r *Router) tokenFor(generation uint64) uint64 {
+	processBits := uint64(r.Self.Slot)<<slotUseBits | uint64(r.slotUses)&(1<<slotUseBits-1)
+	return generation<<(slotBits+slotUseBits) | processBits
 }
 
 // generationOf returns the generation of a token.
-func generationOf(token uint64) uint64 { return token >> (slotBits + lifeBits) }
+func generationOf(token uint64) uint64 { return token >> (slotBits + slotUseBits) }
 
 func (r *Router) cell(zone string) *cell {
 	c := r.cells[zone]
@@ -51,73 +51,73 @@
 	return c
 }
 
-// learn takes a claim that was heard of. The highest token is in force.
-func (r *Router) learn(claim Claim) {
+// applyClaim takes a claim that was heard of. The highest token is in force.
+func (r *Router) applyClaim(claim Claim) {
 	r.generation = max(r.generation, generationOf(claim.Token))
 	c := r.cell(claim.Zone)
-	c.row = max(c.row, claim.RowVersion)
+	c.rowVersion = max(c.rowVersion, claim.RowVersion)
 	claim.RowVersion = 0
 	if claim.Token <= c.claim.Token {
 		return
 	}
 	if claim.Holder.Address == r.Self.Address && claim.Holder.Incarnation == r.Self.Incarnation {
-		r.confirm(c, claim.Token)
+		r.confirmClaim(c, claim.Token)
 		return
 	}
 	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "holder", claim.Holder.Name, "token", claim.Token, "before", c.claim.Holder.Name}})
-	c.claim, c.fenced, c.backoff, c.learned = claim, false, 0, r.now
-	r.reclaimed = r.now
-	c.absent, c.rivals = time.Time{}, time.Time{}
+	c.claim, c.fenced, c.claimBackoff, c.claimReceivedAt = claim, false, 0, r.now
+	r.lastClaimChangeAt = r.now
+	c.holderlessSince, c.mergeWantedSince = time.Time{}, time.Time{}
 	r.addPeer(claim.Holder)
-	if c.mine {
-		r.lose(c)
+	if c.heldHere {
+		r.releaseCell(c)
 	}
 }
 
-// confirm takes a claim of this process that it has given up for want of an answer: the
+// confirmClaim takes a claim of this process that it has given up for want of an answer: the
 // store has written it later, and the other hosts go by it.
-func (r *Router) confirm(c *cell, token uint64) {
-	if !r.leaving.IsZero() || r.claiming != nil && r.claiming.token == token {
+func (r *Router) confirmClaim(c *cell, token uint64) {
+	if !r.leavingSince.IsZero() || r.pendingClaim != nil && r.pendingClaim.token == token {
 		return // others take over, or the answer is under way
 	}
-	r.acquire(c, token)
+	r.acquireCell(c, token)
 }
 
-// holderOf returns the member that holds a zone's cell and can be reached, or
+// reachableHolder returns the member that holds a zone's cell and can be reached, or
 // nil.
-func (r *Router) holderOf(zone string) *Member {
+func (r *Router) reachableHolder(zone string) *Member {
 	c := r.cells[zone]
 	if c == nil || c.claim.Token == 0 {
 		return nil
 	}
-	if c.mine {
+	if c.heldHere {
 		return &r.Self
 	}
 	p := r.peers[c.claim.Holder.Address]
-	if c.fenced || p == nil || p.member.Incarnation != c.claim.Holder.Incarnation || !r.reaches(p) {
+	if c.fenced || p == nil || p.member.Incarnation != c.claim.Holder.Incarnation || !r.isReachable(p) {
 		return nil
 	}
 	return &c.claim.Holder
 }
 
-// trackHolders notes since when each cell lacks a holder.
-func (r *Router) trackHolders() {
+// trackMissingHolders notes since when each cell lacks a holder.
+func (r *Router) trackMissingHolders() {
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
-		if !r.related(zone) && !c.mine {
-			c.absent = time.Time{}
+		if !r.sharesCells(zone) && !c.heldHere {
+			c.holderlessSince = time.Time{}
 			continue
 		}
-		h := r.holderOf(zone)
-		if h != nil && !r.isLeaving(*h) {
-			c.absent = time.Time{}
+		holder := r.reachableHolder(zone)
+		if holder != nil && !r.isLeaving(*holder) {
+			c.holderlessSince = time.Time{}
 			continue
 		}
-		if c.absent.IsZero() {
-			c.absent = r.now
-			r.beaten = time.Time{} // more hosts have to be heard of now
+		if c.holderlessSince.IsZero() {
+			c.holderlessSince = r.now
+			r.lastHeartbeatAt = time.Time{} // more hosts have to be heard of now
 			if c.claim.Token > 0 {
-				r.emit(Decision{Action: "holder", Pairs: []any{"zone", zone, "holder", c.claim.Holder.Name, "state", "lost", "leaving", h != nil}})
+				r.emit(Decision{Action: "holder", Pairs: []any{"zone", zone, "holder", c.claim.Holder.Name, "state", "lost", "leaving", holder != nil}})
 			}
 		}
 	}
@@ -125,69 +125,69 @@
 
 func (r *Router) isLeaving(m Member) bool {
 	if m.Address == r.Self.Address {
-		return !r.leaving.IsZero()
+		return !r.leavingSince.IsZero()
 	}
 	p := r.peers[m.Address]
 	return p != nil && p.leaving
 }
 
-// acquire makes this host the holder of a cell.
-func (r *Router) acquire(c *cell, token uint64) {
-	if _, pending := r.lost[c.zone]; pending {
+// acquireCell makes this host the holder of a cell.
+func (r *Router) acquireCell(c *cell, token uint64) {
+	if _, pending := r.lostJobsDropAt[c.zone]; pending {
 		// Another host has had the jobs meanwhile; what is known here is stale.
-		delete(r.lost, c.zone)
-		r.dropZone(c.zone)
+		delete(r.lostJobsDropAt, c.zone)
+		r.dropJobsOfZone(c.zone)
 	}
 	c.claim = Claim{Zone: c.zone, Token: token, Holder: r.Self}
-	c.mine, c.acquired, c.fenced = true, r.now, false
-	r.reclaimed = r.now
-	c.absent, c.rivals = time.Time{}, time.Time{}
+	c.heldHere, c.acquiredAt, c.fenced = true, r.now, false
+	r.lastClaimChangeAt = r.now
+	c.holderlessSince, c.mergeWantedSince = time.Time{}, time.Time{}
 	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "holder", r.Self.Name, "token", token}})
 	r.syncTargets()
-	r.reoffer()
+	r.offerAllRequests()
 }
 
-// lose gives up a cell that another host has claimed, or that targets refuse.
-func (r *Router) lose(c *cell) {
-	c.mine = false
-	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "state", "given up", "held", r.since(c.acquired)}})
+// releaseCell gives up a cell that another host has claimed, or that targets refuse.
+func (r *Router) releaseCell(c *cell) {
+	c.heldHere = false
+	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "state", "given up", "held", r.formatAge(c.acquiredAt)}})
 	for _, id := range sortedKeys(r.targets) {
 		if t := r.targets[id]; t.Zone == c.zone {
-			r.leave(t)
+			r.releaseTarget(t)
 		}
 	}
-	r.lost[c.zone] = r.now.Add(lossDelay)
-	r.reoffer()
+	r.lostJobsDropAt[c.zone] = r.now.Add(lostJobsDropDelay)
+	r.offerAllRequests()
 }
 
-// dropLost drops the jobs of cells that were lost a moment ago. The delay lets
+// dropLostJobs drops the jobs of cells that were lost a moment ago. The delay lets
 // the claims of all cells arrive: where the next holder has them all, it takes
 // over what runs, and nothing is stopped.
-func (r *Router) dropLost() {
-	for _, zone := range sortedKeys(r.lost) {
-		if !r.now.Before(r.lost[zone]) {
-			delete(r.lost, zone)
-			r.dropZone(zone)
+func (r *Router) dropLostJobs() {
+	for _, zone := range sortedKeys(r.lostJobsDropAt) {
+		if !r.now.Before(r.lostJobsDropAt[zone]) {
+			delete(r.lostJobsDropAt, zone)
+			r.dropJobsOfZone(zone)
 		}
 	}
 }
 
-// handleFence takes a target's word that it obeys a higher token than this host's.
-func (r *Router) handleFence(t *target, token uint64) {
+// handleFenced takes a target's word that it obeys a higher token than this host's.
+func (r *Router) handleFenced(t *target, token uint64) {
 	c := r.cells[t.Zone]
-	if c == nil || !c.mine || c.claim.Token != token {
+	if c == nil || !c.heldHere || c.claim.Token != token {
 		return
 	}
 	c.fenced = true
 	r.generation++
-	r.postpone([]string{c.zone})
-	r.lose(c)
+	r.postponeClaims([]string{c.zone})
+	r.releaseCell(c)
 }
 
-// enrol takes this host's slot and what else the store has.
-func (r *Router) enrol(e Registered) {
+// handleRegistered takes this host's slot and what else the store has.
+func (r *Router) handleRegistered(e Registered) {
 	if e.Slot > 0 && r.Self.Slot == 0 {
-		r.Self.Slot, r.life = e.Slot, e.SlotUses
+		r.Self.Slot, r.slotUses = e.Slot, e.SlotUses
 		r.emit(Decision{Action: "enrol", Pairs: []any{"slot", e.Slot, "life", e.SlotUses, "members", len(e.Members)}})
 	}
 	for _, m := range e.Members {
@@ -195,8 +195,8 @@
 	}
 	for _, row := range e.Claims {
 		c := r.cell(row.Claim.Zone)
-		c.row = max(c.row, row.Version)
-		r.learn(row.Claim)
+		c.rowVersion = max(c.rowVersion, row.Version)
+		r.applyClaim(row.Claim)
 	}
-	r.beatNow()
+	r.sendHeartbeats()
 }
--- a/internal/router/check.go
+++ b/internal/router/check.go
@@ -11,7 +11,7 @@
 	MaxTasks = 10_000
 	// maxGeneration bounds the generations of claims, so that a token stays below 2^53
 	// and is exact in JSON.
-	maxGeneration = 1 << (53 - slotBits - lifeBits)
+	maxGeneration = 1 << (53 - slotBits - slotUseBits)
 )
 
 // MalformedError tells that a message of another host cannot be used. Look for hosts that
@@ -44,7 +44,7 @@
 		return &MalformedError{"the number of tasks", fmt.Sprint(j.Count)}
 	case j.Need.CPU < 0 || j.Need.Memory < 0 || j.Need.GPU < 0:
 		return &MalformedError{"a task's need", fmt.Sprint(j.Need)}
-	case !finite(j.Stretch):
+	case !areFinite(j.Stretch):
 		return &MalformedError{"the stretch", fmt.Sprint(j.Stretch)}
 	case o.RunBase < 0:
 		return &MalformedError{"the base of run numbers", fmt.Sprint(o.RunBase)}
@@ -61,26 +61,26 @@
 			return &MalformedError{"a claim's token", fmt.Sprint(c.Token)}
 		}
 	}
-	return checkLessons(b.Routes, b.Speeds)
+	return checkLearnedState(b.Routes, b.Speeds)
 }
 
-// checkLessons checks what another host has learned.
-func checkLessons(lessons []RouteStats, speeds []KindSpeed) error {
-	for _, l := range lessons {
-		if l.Count < 0 || l.Timeouts < 0 || l.VarTimeout < 0 || !finite(l.MeanX, l.MeanY, l.VarX, l.CovXY, l.MeanTimeout, l.VarTimeout) {
-			return &MalformedError{"what was learned of a route", fmt.Sprint(l)}
+// checkLearnedState checks what another host has learned.
+func checkLearnedState(routes []RouteStats, speeds []KindSpeed) error {
+	for _, stats := range routes {
+		if stats.Count < 0 || stats.Timeouts < 0 || stats.VarTimeout < 0 || !areFinite(stats.MeanX, stats.MeanY, stats.VarX, stats.CovXY, stats.MeanTimeout, stats.VarTimeout) {
+			return &MalformedError{"what was learned of a route", fmt.Sprint(stats)}
 		}
 	}
 	for _, s := range speeds {
-		if s.Count < 0 || !finite(s.Log) {
+		if s.Count < 0 || !areFinite(s.Log) {
 			return &MalformedError{"the speed of a kind", fmt.Sprint(s)}
 		}
 	}
 	return nil
 }
 
-// finite reports whether all values are numbers.
-func finite(values ...float64) bool {
+// areFinite reports whether all values are numbers.
+func areFinite(values ...float64) bool {
 	for _, v := range values {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			return false
--- a/internal/router/check_test.go
+++ b/internal/router/check_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// malformed are messages that no host of this version sends.
-func malformed() map[string]Message {
+// malformedMessages are messages that no host of this version sends.
+func malformedMessages() map[string]Message {
 	offer := func(change func(*Offer)) Message {
-		o := &Offer{Job: pair("bad"), TimeLeft: time.Second, SubmissionID: 1}
+		o := &Offer{Job: twoTaskJob("bad"), TimeLeft: time.Second, SubmissionID: 1}
 		change(o)
 		return Message{Offer: o}
 	}
@@ -32,31 +32,31 @@
 	}
 }
 
-// TestMalformedMessages: a malformed message changes nothing but the log, and ends no
+// TestMalformedMessagesAreRejected: a malformed message changes nothing but the log, and ends no
 // process.
-func TestMalformedMessages(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	const from = "10.0.0.9:1"
-	for name, m := range malformed() {
+	for name, m := range malformedMessages() {
 		var want *MalformedError
 		require.ErrorAs(t, m.Check(), &want, name)
 		b := newHolderBed(t, 2, ClaimWon)
-		b.neighbour(from)
+		b.receiveHeartbeatFrom(from)
 		generation := b.router.generation
 		assert.NotPanics(t, func() {
 			effects := b.step(Receive{From: from, Message: m})
-			assert.Empty(t, only[Start](effects), name)
-			assert.NotEmpty(t, only[Decision](effects), name)
+			assert.Empty(t, effectsOf[Start](effects), name)
+			assert.NotEmpty(t, effectsOf[Decision](effects), name)
 		}, name)
 		assert.Equal(t, generation, b.router.generation, name)
-		_, effects := b.begin("sound", Running)
-		assert.Empty(t, only[Violation](effects), name)
+		_, effects := b.startTask("sound", Running)
+		assert.Empty(t, effectsOf[Violation](effects), name)
 	}
 }
 
 // FuzzReceive feeds a holder with whatever decodes as a message: it goes on, and no
 // invariant breaks.
 func FuzzReceive(f *testing.F) {
-	for _, m := range malformed() {
+	for _, m := range malformedMessages() {
 		data, err := cbor.Marshal(m)
 		require.NoError(f, err)
 		f.Add(data)
@@ -72,10 +72,10 @@
 			return
 		}
 		b := newHolderBed(t, 2, ClaimWon)
-		b.neighbour("10.0.0.9:1")
+		b.receiveHeartbeatFrom("10.0.0.9:1")
 		effects := b.step(Receive{From: "10.0.0.9:1", Message: m})
-		effects = append(effects, b.pass(100*time.Millisecond)...)
-		effects = append(effects, b.step(Submit{Request: 1, Job: pair("sound"), Budget: time.Second})...)
-		assert.Empty(t, only[Violation](effects))
+		effects = append(effects, b.advance(100*time.Millisecond)...)
+		effects = append(effects, b.step(Submit{Request: 1, Job: twoTaskJob("sound"), Budget: time.Second})...)
+		assert.Empty(t, effectsOf[Violation](effects))
 	})
 }
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -55,19 +55,19 @@
 // Match returns the route of a request: that of its host name with the longest
 // prefix of its path.
 func (c *Config) Match(host, path string) (Route, bool) {
-	best := -1
+	bestIndex := -1
 	for i, route := range c.Routes {
 		if route.Host != host || !strings.HasPrefix(path, route.Prefix) {
 			continue
 		}
-		if best < 0 || len(route.Prefix) > len(c.Routes[best].Prefix) {
-			best = i
+		if bestIndex < 0 || len(route.Prefix) > len(c.Routes[bestIndex].Prefix) {
+			bestIndex = i
 		}
 	}
-	if best < 0 {
+	if bestIndex < 0 {
 		return Route{}, false
 	}
-	return c.Routes[best], true
+	return c.Routes[bestIndex], true
 }
 
 // Target is one entry of the platform's list of targets.
@@ -112,12 +112,12 @@
 	Total int `cbor:"3,keyasint,omitempty"`
 }
 
-// total returns how many targets the whole list has.
-func (d Directory) total() int { return max(d.Total, len(d.Targets)) }
+// targetCount returns how many targets the whole list has.
+func (d Directory) targetCount() int { return max(d.Total, len(d.Targets)) }
 
-// same reports whether two directories list the same targets in the same state.
-func (d Directory) same(other Directory) bool {
-	return d.total() == other.total() && slices.EqualFunc(d.Targets, other.Targets, func(a, b Target) bool {
+// hasSameTargets reports whether two directories list the same targets in the same state.
+func (d Directory) hasSameTargets(other Directory) bool {
+	return d.targetCount() == other.targetCount() && slices.EqualFunc(d.Targets, other.Targets, func(a, b Target) bool {
 		return a.ID == b.ID && a.Address == b.Address && a.Service == b.Service && a.Zone == b.Zone &&
 			a.Draining == b.Draining && a.Capacity == b.Capacity && a.StartedAt == b.StartedAt && slices.Equal(a.Labels, b.Labels)
 	})
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -13,55 +13,55 @@
 type job struct {
 	holder.Index // place in the queue
 
-	spec    Job
-	origin  string // address of the host whose client waits
-	stamp   int64  // of the submission
-	tasks   []task
-	waiting int // tasks to be started
-	done    int
-	// begun tells that a task may have started.
-	begun bool
-	// tried tells that a task may have started for an earlier submission.
-	tried bool
-	// over tells that the verdict is out; verdict is what it was.
-	over    bool
+	spec         Job
+	origin       string // address of the host whose client waits
+	submissionID int64  // of the submission
+	tasks        []task
+	waitingCount int // tasks to be started
+	doneCount    int
+	// mayHaveStarted tells that a task may have started.
+	mayHaveStarted bool
+	// mayHaveStartedEarlier tells that a task may have started for an earlier submission.
+	mayHaveStartedEarlier bool
+	// ended tells that the verdict is out; verdict is what it was.
+	ended   bool
 	verdict Verdict
-	since   time.Time // when the verdict was given
-
-	arrived  time.Time // at its own host
-	offered  time.Time // here
-	ordered  time.Time // the first start from here
-	deadline time.Time
-	// task is the expected run time of one task at a target of usual speed.
-	task time.Duration
-	// expect is the expected run time of the whole job, and latest the last
+	endedAt time.Time // when the verdict was given
+
+	arrivedAt    time.Time // at its own host
+	offeredAt    time.Time // here
+	firstStartAt time.Time // the first start from here
+	deadline     time.Time
+	// taskRunTime is the expected run time of one task at a target of usual speed.
+	taskRunTime time.Duration
+	// expectedRunTime is the expected run time of the whole job, and latest the last
 	// moment to start its tasks for an answer within the objective.
-	expect time.Duration
-	latest time.Time
-	goal   time.Time // when the answer is due
-	// resent tells that another holder had the job; cleared is when its tasks
+	expectedRunTime time.Duration
+	latestStart     time.Time
+	dueAt           time.Time // when the answer is due
+	// reoffered tells that another holder had the job; cleared is when its tasks
 	// may start anew even if not all targets obey this host.
-	resent  bool
-	cleared time.Time
-	zones   []string
-	// waited tells that the job's client had waited before.
-	waited bool
-	// excess tells that the job's route was beyond its fair share.
-	excess bool
+	reoffered        bool
+	quarantinedUntil time.Time
+	previousZones    []string
+	// likelyRetry tells that the job's client had waited before.
+	likelyRetry bool
+	// exceedsShare tells that the job's route was beyond its fair share.
+	exceedsShare bool
 }
 
 // task is one task of a job.
 type task struct {
-	state  taskState
-	run    *run
-	last   int // highest run number that was used
-	failed int
-	// avoided are targets where the task has failed.
-	avoided []string
+	state    taskState
+	run      *run
+	lastRun  int // highest run number that was used
+	failures int
+	// avoidedTargets are targets where the task has failed.
+	avoidedTargets []string
 	// notBefore and former keep the task waiting while an earlier run may go
 	// on: one at a target of another holder, one of the same job sent before.
-	notBefore time.Time
-	former    *run
+	notBefore   time.Time
+	previousRun *run
 }
 
 type taskState string
@@ -75,191 +75,191 @@
 type taskEvent string
 
 const (
-	taskStart  taskEvent = "start"
-	taskReturn taskEvent = "return"
-	taskFinish taskEvent = "finish"
+	taskStart   taskEvent = "start"
+	taskRequeue taskEvent = "return"
+	taskFinish  taskEvent = "finish"
 )
 
 // taskMachine is the life cycle of a task. A task that is done stays so.
 var taskMachine = transitioner.Compile(taskWaiting,
 	transitioner.Rule[taskState, taskEvent]{Event: taskStart, Source: []taskState{taskWaiting}, Target: taskActive},
-	transitioner.Rule[taskState, taskEvent]{Event: taskReturn, Source: []taskState{taskActive}, Target: taskWaiting},
+	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Source: []taskState{taskActive}, Target: taskWaiting},
 	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Source: []taskState{taskActive, taskWaiting, taskDone}, Target: taskDone},
 )
 
-// move changes a task's state and asserts that the change is allowed.
-func (r *Router) move(j *job, index int, event taskEvent) bool {
+// transitionTask changes a task's state and asserts that the change is allowed.
+func (r *Router) transitionTask(j *job, index int, event taskEvent) bool {
 	k := &j.tasks[index]
 	next, ok := taskMachine.Next(k.state, event)
 	if !ok {
-		r.violate("life of a task", "%s of %s in state %s", event, taskName(j.spec.ID, index), k.state)
+		r.reportViolation("life of a task", "%s of %s in state %s", event, taskName(j.spec.ID, index), k.state)
 		return false
 	}
 	if k.state == taskWaiting && next != taskWaiting {
-		j.waiting--
-		if j.waiting == 0 {
+		j.waitingCount--
+		if j.waitingCount == 0 {
 			r.queue.Remove(j)
 		}
 	}
 	if k.state != taskWaiting && next == taskWaiting {
-		j.waiting++
+		j.waitingCount++
 	}
 	k.state = next
 	return true
 }
 
-// offered takes a job from the host of its client; nil is this host.
-func (r *Router) offered(p *peer, o *Offer) {
+// handleOffer takes a job from the host of its client; nil is this host.
+func (r *Router) handleOffer(p *peer, o *Offer) {
 	origin := r.Self
 	if p != nil {
 		origin = p.member
 	}
 	c := r.cells[origin.Zone]
-	stale := p != nil && !r.reaches(p) // it may have been on its way through a cut
-	if c == nil || !c.mine || stale {
-		r.tell(origin.Address, Verdict{ID: o.Job.ID, Outcome: WrongHolder, SubmissionID: o.SubmissionID})
+	stale := p != nil && !r.isReachable(p) // it may have been on its way through a cut
+	if c == nil || !c.heldHere || stale {
+		r.sendVerdict(origin.Address, Verdict{ID: o.Job.ID, Outcome: WrongHolder, SubmissionID: o.SubmissionID})
 		return
 	}
 	earlier := r.jobs[o.Job.ID]
-	if earlier != nil && (!earlier.runsAnew() || earlier.answered(origin.Address, o)) {
-		r.repeated(earlier, origin.Address, o)
+	if earlier != nil && (!earlier.canRunAgain() || earlier.isLateCopy(origin.Address, o)) {
+		r.handleRepeatedOffer(earlier, origin.Address, o)
 		return
 	}
-	j := r.accept(origin.Address, o)
-	j.succeed(earlier)
-	j.waited = r.hasWaited(j)
+	j := r.newJob(origin.Address, o)
+	j.inheritRuns(earlier)
+	j.likelyRetry = r.isLikelyRetry(j)
 	if v, refused := r.admit(j); refused {
-		v.Outcome = j.truthful(v.Outcome)
-		r.emit(Decision{Action: "refuse", Job: j.spec.ID, Pairs: r.inputs(j, "reason", v.Reason, "after", v.RetryAfter.String())})
-		r.reject(j, v)
+		v.Outcome = j.reportableOutcome(v.Outcome)
+		r.emit(Decision{Action: "refuse", Job: j.spec.ID, Pairs: r.decisionPairs(j, "reason", v.Reason, "after", v.RetryAfter.String())})
+		r.rejectJob(j, v)
 		return
 	}
-	r.emit(Decision{Action: "admit", Job: j.spec.ID, Pairs: r.inputs(j), Routine: true})
-	r.measure(j, Accepted, j.arrived)
+	r.emit(Decision{Action: "admit", Job: j.spec.ID, Pairs: r.decisionPairs(j), Routine: true})
+	r.emitStageDuration(j, Accepted, j.arrivedAt)
 	r.jobs[j.spec.ID] = j
-	if j.resent {
-		r.lookAtFormer(j)
+	if j.reoffered {
+		r.pollPreviousTargets(j)
 	}
-	r.matchListed(j)
-	r.settle(j)
-	r.dirty = true
+	r.matchListedRuns(j)
+	r.endOrEnqueueJob(j)
+	r.placementNeeded = true
 }
 
-// reject refuses a job. It is remembered, since a copy of its offer may still be on
+// rejectJob refuses a job. It is remembered, since a copy of its offer may still be on
 // its way over a link that was replaced.
-func (r *Router) reject(j *job, v Verdict) {
-	v.SubmissionID = j.stamp
-	j.over, j.verdict, j.since = true, v, r.now
+func (r *Router) rejectJob(j *job, v Verdict) {
+	v.SubmissionID = j.submissionID
+	j.ended, j.verdict, j.endedAt = true, v, r.now
 	r.jobs[j.spec.ID] = j
-	r.ended = append(r.ended, j)
-	r.tell(j.origin, v)
+	r.endedJobs = append(r.endedJobs, j)
+	r.sendVerdict(j.origin, v)
 }
 
-// answered reports whether an offer is a late copy of one that the job's host has had
+// isLateCopy reports whether an offer is a late copy of one that the job's host has had
 // the final verdict on.
-func (j *job) answered(origin string, o *Offer) bool {
-	return j.over && j.verdict.Outcome != WrongHolder && j.origin == origin && j.stamp == o.SubmissionID && o.SubmissionID != 0
+func (j *job) isLateCopy(origin string, o *Offer) bool {
+	return j.ended && j.verdict.Outcome != WrongHolder && j.origin == origin && j.submissionID == o.SubmissionID && o.SubmissionID != 0
 }
 
-// runsAnew reports whether a job has ended so that its client may have it run
+// canRunAgain reports whether a job has ended so that its client may have it run
 // once more.
-func (j *job) runsAnew() bool {
+func (j *job) canRunAgain() bool {
 	switch j.verdict.Outcome {
 	case Unknown, Refused, WrongHolder:
-		return j.over
+		return j.ended
 	}
-	return j.over && j.verdict.Reason == Withdrawn
+	return j.ended && j.verdict.Reason == Withdrawn
 }
 
-// succeed makes a job wait for what still runs of its earlier submission.
-func (j *job) succeed(earlier *job) {
+// inheritRuns makes a job wait for what still runs of its earlier submission.
+func (j *job) inheritRuns(earlier *job) {
 	if earlier == nil {
 		return
 	}
-	j.tried = earlier.begun || earlier.tried
+	j.mayHaveStartedEarlier = earlier.mayHaveStarted || earlier.mayHaveStartedEarlier
 	for i := range min(len(j.tasks), len(earlier.tasks)) {
 		k, old := &j.tasks[i], &earlier.tasks[i]
-		k.last, k.former = max(k.last, old.last), old.run
-		if k.former == nil {
-			k.former = old.former
+		k.lastRun, k.previousRun = max(k.lastRun, old.lastRun), old.run
+		if k.previousRun == nil {
+			k.previousRun = old.previousRun
 		}
 	}
 }
 
-// live reports whether a run may still go on. It is false for nil.
-func (n *run) live() bool {
+// isLive reports whether a run may still go on. It is false for nil.
+func (n *run) isLive() bool {
 	return n != nil && n.target.runs[taskName(n.job.spec.ID, n.task)] == n
 }
 
-// repeated takes a job that is known here: its client has sent it again through
+// handleRepeatedOffer takes a job that is known here: its client has sent it again through
 // another host, or the host has offered it under another claim.
-func (r *Router) repeated(j *job, origin string, o *Offer) {
-	j.origin, j.stamp = origin, o.SubmissionID
+func (r *Router) handleRepeatedOffer(j *job, origin string, o *Offer) {
+	j.origin, j.submissionID = origin, o.SubmissionID
 	j.deadline = later(j.deadline, r.now.Add(o.TimeLeft))
-	r.emit(Decision{Action: "repeat", Job: j.spec.ID, Pairs: []any{"origin", origin, "over", j.over, "outcome", j.verdict.Outcome}})
-	if j.over {
+	r.emit(Decision{Action: "repeat", Job: j.spec.ID, Pairs: []any{"origin", origin, "over", j.ended, "outcome", j.verdict.Outcome}})
+	if j.ended {
 		j.verdict.SubmissionID = o.SubmissionID
-		r.tell(origin, j.verdict)
+		r.sendVerdict(origin, j.verdict)
 	}
 }
 
-// accept makes a job of an offer.
-func (r *Router) accept(origin string, o *Offer) *job {
+// newJob makes a job of an offer.
+func (r *Router) newJob(origin string, o *Offer) *job {
 	j := &job{
-		spec: o.Job, origin: origin, stamp: o.SubmissionID, tasks: make([]task, o.Job.Count), waiting: o.Job.Count,
-		offered: r.now, arrived: r.now.Add(-o.Elapsed), deadline: r.now.Add(o.TimeLeft),
-		resent: o.Reoffered, zones: o.PreviousZones,
+		spec: o.Job, origin: origin, submissionID: o.SubmissionID, tasks: make([]task, o.Job.Count), waitingCount: o.Job.Count,
+		offeredAt: r.now, arrivedAt: r.now.Add(-o.Elapsed), deadline: r.now.Add(o.TimeLeft),
+		reoffered: o.Reoffered, previousZones: o.PreviousZones,
 	}
 	j.SetPlace(-1)
 	for i := range j.tasks {
-		j.tasks[i].state, j.tasks[i].last = taskWaiting, o.RunBase
+		j.tasks[i].state, j.tasks[i].lastRun = taskWaiting, o.RunBase
 	}
 	for _, i := range o.Done {
 		if i >= 0 && i < len(j.tasks) && j.tasks[i].state != taskDone {
-			r.move(j, i, taskFinish)
-			j.done++
-			j.begun = true
+			r.transitionTask(j, i, taskFinish)
+			j.doneCount++
+			j.mayHaveStarted = true
 		}
 	}
-	if j.resent {
-		j.cleared = r.now.Add(r.Bounds.QuarantineDuration)
+	if j.reoffered {
+		j.quarantinedUntil = r.now.Add(r.Bounds.QuarantineDuration)
 	}
-	r.plan(j)
+	r.planStart(j)
 	return j
 }
 
-// matchListed matches a job with what targets have listed of it under another holder.
-func (r *Router) matchListed(j *job) {
-	for _, t := range r.pool {
-		if len(t.finished) == 0 && len(t.orphan) == 0 {
+// matchListedRuns matches a job with what targets have listed of it under another holder.
+func (r *Router) matchListedRuns(j *job) {
+	for _, t := range r.sortedTargets {
+		if len(t.unmatchedEnds) == 0 && len(t.orphans) == 0 {
 			continue
 		}
 		for i := range j.tasks {
 			name := taskName(j.spec.ID, i)
-			if _, ok := t.finished[name]; ok {
-				delete(t.finished, name)
-				r.taskDone(j, i)
+			if _, ok := t.unmatchedEnds[name]; ok {
+				delete(t.unmatchedEnds, name)
+				r.completeTask(j, i)
 			}
-			if number, ok := t.orphan[name]; ok {
+			if number, ok := t.orphans[name]; ok {
 				r.adoptRun(t, j, i, RunningTask{Task: name, Run: number})
 			}
 		}
 	}
 }
 
-// inputs returns what a decision on a job was taken from.
-func (r *Router) inputs(j *job, more ...any) []any {
+// decisionPairs returns what a decision on a job was taken from.
+func (r *Router) decisionPairs(j *job, more ...any) []any {
 	return append([]any{
-		"route", j.spec.Route, "tasks", j.spec.Count, "cpu", j.spec.Need.CPU, "expect", j.expect.Round(time.Millisecond).String(), "declared", j.spec.ExpectedRunTime.String(),
-		"slack", j.latest.Sub(r.now).Round(time.Millisecond).String(), "left", j.deadline.Sub(r.now).Round(time.Millisecond).String(),
-		"queued", r.queue.Len(), "directory", r.directory.Version, "resent", j.resent, "excess", j.excess, "waited", j.waited,
+		"route", j.spec.Route, "tasks", j.spec.Count, "cpu", j.spec.Need.CPU, "expect", j.expectedRunTime.Round(time.Millisecond).String(), "declared", j.spec.ExpectedRunTime.String(),
+		"slack", j.latestStart.Sub(r.now).Round(time.Millisecond).String(), "left", j.deadline.Sub(r.now).Round(time.Millisecond).String(),
+		"queued", r.queue.Len(), "directory", r.directory.Version, "resent", j.reoffered, "excess", j.exceedsShare, "waited", j.likelyRetry,
 	}, more...)
 }
 
-// tell sends a verdict to the host of the job's client.
-func (r *Router) tell(origin string, v Verdict) {
+// sendVerdict sends a verdict to the host of the job's client.
+func (r *Router) sendVerdict(origin string, v Verdict) {
 	if origin == r.Self.Address {
-		r.judged(origin, v)
+		r.handleVerdict(origin, v)
 		return
 	}
 	if p := r.peers[origin]; p != nil {
@@ -267,131 +267,131 @@
 	}
 }
 
-// taskDone notes that a task has done its work.
-func (r *Router) taskDone(j *job, index int) {
+// completeTask notes that a task has done its work.
+func (r *Router) completeTask(j *job, index int) {
 	k := &j.tasks[index]
-	if k.state == taskDone || j.over {
+	if k.state == taskDone || j.ended {
 		return
 	}
 	if k.run != nil {
-		r.stopSurplus(k)
+		r.stopRedundantRun(k)
 	}
-	if !r.move(j, index, taskFinish) {
+	if !r.transitionTask(j, index, taskFinish) {
 		return
 	}
-	j.done++
-	j.begun = true
-	r.settle(j)
-	if !j.over { // otherwise the verdict tells
-		r.marks[j.origin] = append(r.marks[j.origin], DoneTask{ID: j.spec.ID, Task: index})
+	j.doneCount++
+	j.mayHaveStarted = true
+	r.endOrEnqueueJob(j)
+	if !j.ended { // otherwise the verdict tells
+		r.unreportedTasks[j.origin] = append(r.unreportedTasks[j.origin], DoneTask{ID: j.spec.ID, Task: index})
 	}
 }
 
-// stopSurplus stops a run whose task is done by another.
-func (r *Router) stopSurplus(k *task) {
+// stopRedundantRun stops a run whose task is done by another.
+func (r *Router) stopRedundantRun(k *task) {
 	n := k.run
 	k.run = nil
 	if n.target.runs[taskName(n.job.spec.ID, n.task)] == n {
-		r.halt(n)
+		r.stopRun(n)
 	}
 }
 
-// settle gives the verdict on a job whose end is certain.
-func (r *Router) settle(j *job) {
-	if j.over {
+// endOrEnqueueJob gives the verdict on a job whose end is certain.
+func (r *Router) endOrEnqueueJob(j *job) {
+	if j.ended {
 		return
 	}
-	if j.done == len(j.tasks) {
-		r.end(j, Verdict{Outcome: Complete})
+	if j.doneCount == len(j.tasks) {
+		r.endJob(j, Verdict{Outcome: Complete})
 		return
 	}
 	for i := range j.tasks {
-		if j.tasks[i].failed >= max(j.spec.MaxAttempts, 1) {
-			r.end(j, Verdict{Outcome: Failed, Reason: AttemptsExhausted})
+		if j.tasks[i].failures >= max(j.spec.MaxAttempts, 1) {
+			r.endJob(j, Verdict{Outcome: Failed, Reason: AttemptsExhausted})
 			return
 		}
 	}
-	if j.waiting > 0 && !r.queue.Has(j) && r.jobs[j.spec.ID] == j {
+	if j.waitingCount > 0 && !r.queue.Has(j) && r.jobs[j.spec.ID] == j {
 		r.queue.Push(j)
 	}
 }
 
-// truthful returns the outcome to tell of a job: it is not refused as not run once
+// reportableOutcome returns the outcome to tell of a job: it is not refused as not run once
 // a task may have started for an earlier submission.
-func (j *job) truthful(outcome Outcome) Outcome {
-	if outcome == Refused && j.tried {
+func (j *job) reportableOutcome(outcome Outcome) Outcome {
+	if outcome == Refused && j.mayHaveStartedEarlier {
 		return Unknown
 	}
 	return outcome
 }
 
-// end gives a job its verdict, once, and stops what still runs.
-func (r *Router) end(j *job, v Verdict) {
-	v.ID, v.SubmissionID = j.spec.ID, j.stamp
-	v.Outcome = j.truthful(v.Outcome)
-	if v.Outcome == Refused && j.begun {
-		r.violate("a refusal is true", "%s was begun", j.spec.ID)
+// endJob gives a job its verdict, once, and stops what still runs.
+func (r *Router) endJob(j *job, v Verdict) {
+	v.ID, v.SubmissionID = j.spec.ID, j.submissionID
+	v.Outcome = j.reportableOutcome(v.Outcome)
+	if v.Outcome == Refused && j.mayHaveStarted {
+		r.reportViolation("a refusal is true", "%s was begun", j.spec.ID)
 		v.Outcome = Failed
 	}
-	if v.Outcome == Complete && j.done != len(j.tasks) {
-		r.violate("complete or failed", "%s has %d of %d tasks", j.spec.ID, j.done, len(j.tasks))
+	if v.Outcome == Complete && j.doneCount != len(j.tasks) {
+		r.reportViolation("complete or failed", "%s has %d of %d tasks", j.spec.ID, j.doneCount, len(j.tasks))
 	}
-	j.over, j.verdict, j.since = true, v, r.now
+	j.ended, j.verdict, j.endedAt = true, v, r.now
 	r.queue.Remove(j)
-	if !j.ordered.IsZero() {
-		r.measure(j, Ended, j.ordered)
+	if !j.firstStartAt.IsZero() {
+		r.emitStageDuration(j, Ended, j.firstStartAt)
 	}
-	inputs := r.inputs(j, "outcome", v.Outcome, "reason", v.Reason, "done", j.done, "begun", j.begun)
-	r.emit(Decision{Action: "verdict", Job: j.spec.ID, Pairs: inputs, Routine: v.Outcome == Complete})
+	pairs := r.decisionPairs(j, "outcome", v.Outcome, "reason", v.Reason, "done", j.doneCount, "begun", j.mayHaveStarted)
+	r.emit(Decision{Action: "verdict", Job: j.spec.ID, Pairs: pairs, Routine: v.Outcome == Complete})
 	r.stopRuns(j)
-	r.ended = append(r.ended, j)
-	r.tell(j.origin, v)
+	r.endedJobs = append(r.endedJobs, j)
+	r.sendVerdict(j.origin, v)
 }
 
 // stopRuns stops everything of a job.
 func (r *Router) stopRuns(j *job) {
 	for i := range j.tasks {
 		n := j.tasks[i].run
-		if n != nil && (n.state == runRunning || n.state == runDoubtful) {
-			r.halt(n)
+		if n != nil && (n.state == runRunning || n.state == runUnconfirmed) {
+			r.stopRun(n)
 		}
 	}
 }
 
-// withdrawn drops a job that nobody waits for.
-func (r *Router) withdrawn(p *peer, id string) {
+// handleWithdraw drops a job that nobody waits for.
+func (r *Router) handleWithdraw(p *peer, id string) {
 	j := r.jobs[id]
-	if j == nil || j.over {
+	if j == nil || j.ended {
 		return
 	}
 	if p != nil && j.origin != p.member.Address {
 		return // it has moved to another host
 	}
-	r.end(j, Verdict{Outcome: Failed, Reason: Withdrawn})
+	r.endJob(j, Verdict{Outcome: Failed, Reason: Withdrawn})
 }
 
-// dropOrigin ends the jobs of a host that is not heard any more: its clients
+// endJobsOfOrigin ends the jobs of a host that is not heard any more: its clients
 // have no way to an answer, and may send the jobs to another host.
-func (r *Router) dropOrigin(address string) {
+func (r *Router) endJobsOfOrigin(address string) {
 	for _, id := range sortedKeys(r.jobs) {
-		if j := r.jobs[id]; j.origin == address && !j.over {
-			r.end(j, Verdict{Outcome: Unknown, Reason: NoHolder})
+		if j := r.jobs[id]; j.origin == address && !j.ended {
+			r.endJob(j, Verdict{Outcome: Unknown, Reason: NoHolder})
 		}
 	}
 }
 
-// dropZone gives up the jobs of a zone that has another holder now. Its hosts
+// dropJobsOfZone gives up the jobs of a zone that has another holder now. Its hosts
 // offer them there, and the new holder takes over what runs.
-func (r *Router) dropZone(zone string) {
+func (r *Router) dropJobsOfZone(zone string) {
 	for _, id := range sortedKeys(r.jobs) {
 		j := r.jobs[id]
-		if j.over || r.zoneOf(j.origin) != zone {
+		if j.ended || r.zoneOf(j.origin) != zone {
 			continue
 		}
-		j.over, j.since, j.verdict = true, r.now, Verdict{ID: id, Outcome: WrongHolder}
+		j.ended, j.endedAt, j.verdict = true, r.now, Verdict{ID: id, Outcome: WrongHolder}
 		r.queue.Remove(j)
 		r.stopRuns(j)
-		r.ended = append(r.ended, j) // it is known for a while, should it come back
+		r.endedJobs = append(r.endedJobs, j) // it is known for a while, should it come back
 	}
 }
 
@@ -405,54 +405,54 @@
 	return ""
 }
 
-// detach takes a task's run away whose target has another holder, and keeps the
+// postponeTask takes a task's run away whose target has another holder, and keeps the
 // task from starting while the run may go on.
-func (r *Router) detach(j *job, index int, until time.Time) {
+func (r *Router) postponeTask(j *job, index int, until time.Time) {
 	k := &j.tasks[index]
 	k.notBefore = until
 	if k.state != taskActive {
 		return
 	}
 	k.run = nil
-	r.move(j, index, taskReturn)
-	if !j.over && !r.queue.Has(j) {
+	r.transitionTask(j, index, taskRequeue)
+	if !j.ended && !r.queue.Has(j) {
 		r.queue.Push(j)
 	}
 }
 
-// watchJobs gives up jobs that cannot be served any more and forgets old ones.
-func (r *Router) watchJobs() {
+// checkJobs gives up jobs that cannot be served any more and forgets old ones.
+func (r *Router) checkJobs() {
 	for _, j := range slices.Clone(r.queue.Items()) {
-		r.reconsider(j)
+		r.recheckQueuedJob(j)
 	}
-	for len(r.ended) > 0 && r.now.Sub(r.ended[0].since) > r.Bounds.VerdictRetention {
-		j := r.ended[0]
-		r.ended = r.ended[1:]
+	for len(r.endedJobs) > 0 && r.now.Sub(r.endedJobs[0].endedAt) > r.Bounds.VerdictRetention {
+		j := r.endedJobs[0]
+		r.endedJobs = r.endedJobs[1:]
 		if r.jobs[j.spec.ID] == j {
 			delete(r.jobs, j.spec.ID)
 		}
 	}
 	var expired []*job
 	for _, j := range r.jobs {
-		if !j.over && r.now.After(j.deadline) {
+		if !j.ended && r.now.After(j.deadline) {
 			expired = append(expired, j)
 		}
 	}
 	slices.SortFunc(expired, func(a, b *job) int { return cmp.Compare(a.spec.ID, b.spec.ID) })
 	for _, j := range expired {
-		r.end(j, Verdict{Outcome: Failed, Reason: Expired})
+		r.endJob(j, Verdict{Outcome: Failed, Reason: Expired})
 	}
 }
 
-// report sends progress to the jobs' hosts.
-func (r *Router) report() {
-	for _, address := range sortedKeys(r.marks) {
-		marks := r.marks[address]
+// sendProgress sends progress to the jobs' hosts.
+func (r *Router) sendProgress() {
+	for _, address := range sortedKeys(r.unreportedTasks) {
+		marks := r.unreportedTasks[address]
 		if address == r.Self.Address {
-			r.progressed(&Progress{Tasks: marks})
+			r.handleProgress(&Progress{Tasks: marks})
 		} else if p := r.peers[address]; p != nil {
 			r.send(p, Message{Progress: &Progress{Tasks: marks}})
 		}
 	}
-	clear(r.marks)
+	clear(r.unreportedTasks)
 }
--- a/internal/router/learn.go
+++ b/internal/router/learn.go
@@ -13,7 +13,7 @@
 	count        int
 	meanX, meanY float64 // declared and measured, logarithms of seconds
 	varX, covXY  float64
-	timeouts     timeouts
+	timeouts     timeoutStats
 	// outliers is by how many more of the last tasks were outliers than not.
 	outliers int
 }
@@ -41,102 +41,102 @@
 	Count int     `cbor:"2,keyasint"`
 	Log   float64 `cbor:"3,keyasint"`
 
-	factor float64 // exp(Log) when it was last asked for
-	asked  float64 // Log at that time
+	factor    float64 // exp(Log) when it was last asked for
+	factorLog float64 // Log at that time
 }
 
 const (
-	// historyWindow is the number of tasks over which a history forgets.
-	historyWindow = 400
-	// historyTrust is the number of tasks after which a history is used.
-	historyTrust = 20
+	// routeModelWindow is the number of tasks over which a history forgets.
+	routeModelWindow = 400
+	// minRouteSamples is the number of tasks after which a history is used.
+	minRouteSamples = 20
 	// priorSlope is how much of a deviation of the declared run time from the
 	// usual is believed before it was learned.
 	priorSlope = 0.5
 	// speedWindow is the number of tasks over which a kind's speed forgets.
 	speedWindow = 200
-	// speedTrust is the number of tasks after which a kind's speed is used.
-	speedTrust = 10
-	// outlier bounds the deviation that is learned from: beyond a factor of 3
+	// minSpeedSamples is the number of tasks after which a kind's speed is used.
+	minSpeedSamples = 10
+	// maxLogDeviation bounds the deviation that is learned from: beyond a factor of 3
 	// the target is at fault rather than the estimate.
-	outlier = 1.1
-	// usual is the run time assumed when nothing is declared or learned.
-	usual = 300 * time.Millisecond
+	maxLogDeviation = 1.1
+	// defaultRunTime is the run time assumed when nothing is declared or learned.
+	defaultRunTime = 300 * time.Millisecond
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// declared returns what a job declares as the run time of a task.
-func declared(spec *Job) time.Duration {
+// declaredRunTime returns what a job declares as the run time of a task.
+func declaredRunTime(spec *Job) time.Duration {
 	if spec.ExpectedRunTime <= 0 {
-		return usual
+		return defaultRunTime
 	}
 	return spec.ExpectedRunTime
 }
 
-// predict returns the expected run time of one task at a target of usual speed.
-func (r *Router) predict(spec *Job) time.Duration {
-	x := math.Log(declared(spec).Seconds())
-	h := r.learned[spec.Route]
-	if h == nil || h.count < historyTrust || !r.uses(RunTimePrediction) {
-		return declared(spec)
+// predictRunTime returns the expected run time of one task at a target of usual speed.
+func (r *Router) predictRunTime(spec *Job) time.Duration {
+	x := math.Log(declaredRunTime(spec).Seconds())
+	h := r.routeModels[spec.Route]
+	if h == nil || h.count < minRouteSamples || !r.isEnabled(RunTimePrediction) {
+		return declaredRunTime(spec)
 	}
 	return seconds(math.Exp(h.meanY + h.slope()*(x-h.meanX)))
 }
 
 // slope returns how much of a deviation of the declared run time is believed.
 func (h *history) slope() float64 {
-	const trusted, flat = 100, 1e-3
-	if h.count < trusted || h.varX < flat {
+	const minSlopeSamples, minVariance = 100, 1e-3
+	if h.count < minSlopeSamples || h.varX < minVariance {
 		return priorSlope
 	}
 	return min(max(h.covXY/h.varX, 0), 1)
 }
 
-// learnFrom takes the run time of a task that is done.
-func (r *Router) learnFrom(n *run) {
-	ran := r.now.Sub(n.sent)
-	if ran <= 0 || n.adopted {
+// recordRunTime takes the run time of a task that is done.
+func (r *Router) recordRunTime(n *run) {
+	runTime := r.now.Sub(n.sentAt)
+	if runTime <= 0 || n.adopted {
 		return
 	}
 	kind := n.target.kind()
-	h := r.historyOf(n.job.spec.Route)
-	y := math.Log(ran.Seconds()) - r.speedLog(kind)
-	if h.count >= historyTrust {
-		off := y - math.Log(r.predict(&n.job.spec).Seconds())
-		if math.Abs(off) > outlier {
-			h.noteOutlier()
+	h := r.routeModelOf(n.job.spec.Route)
+	y := math.Log(runTime.Seconds()) - r.logSpeed(kind)
+	if h.count >= minRouteSamples {
+		deviation := y - math.Log(r.predictRunTime(&n.job.spec).Seconds())
+		if math.Abs(deviation) > maxLogDeviation {
+			h.recordOutlier()
 			return
 		}
 		h.outliers = max(h.outliers-1, 0)
-		r.learnSpeed(kind, off)
+		r.updateSpeed(kind, deviation)
 	}
-	h.take(math.Log(declared(&n.job.spec).Seconds()), y)
+	h.addSample(math.Log(declaredRunTime(&n.job.spec).Seconds()), y)
 }
 
-// historyOf returns what was learned of a route.
-func (r *Router) historyOf(route string) *history {
-	h := r.learned[route]
+// routeModelOf returns what was learned of a route.
+func (r *Router) routeModelOf(route string) *history {
+	h := r.routeModels[route]
 	if h == nil {
 		h = &history{}
-		r.learned[route] = h
+		r.routeModels[route] = h
 	}
 	return h
 }
 
-// noteOutlier notes an outlier. When most tasks are, what was learned is wrong, and learning
+// recordOutlier notes an outlier. When most tasks are, what was learned is wrong, and learning
 // begins anew.
-func (h *history) noteOutlier() {
+func (h *history) recordOutlier() {
 	h.outliers++
-	if h.outliers > historyTrust {
+	if h.outliers > minRouteSamples {
 		*h = history{timeouts: h.timeouts}
 	}
 }
 
-// take adds one task.
-func (h *history) take(x, y float64) {
+// addSample adds one task.
+func (h *history) addSample(x, y float64) {
 	h.count++
-	w := 1 / float64(min(h.count, historyWindow))
+	w := 1 / float64(min(h.count, routeModelWindow))
 	dx, dy := x-h.meanX, y-h.meanY
 	h.meanX += w * dx
 	h.meanY += w * dy
@@ -144,40 +144,40 @@
 	h.covXY += w * (dx*(y-h.meanY) - h.covXY)
 }
 
-// learnSpeed takes how far a run was off the prediction for its kind of target.
-func (r *Router) learnSpeed(kind string, off float64) {
-	s := r.speeds[kind]
+// updateSpeed takes how far a run was off the prediction for its kind of target.
+func (r *Router) updateSpeed(kind string, deviation float64) {
+	s := r.kindSpeeds[kind]
 	if s == nil {
 		s = &KindSpeed{Kind: kind}
-		r.speeds[kind] = s
+		r.kindSpeeds[kind] = s
 	}
 	s.Count++
-	s.Log += off / float64(min(s.Count, speedWindow))
+	s.Log += deviation / float64(min(s.Count, speedWindow))
 }
 
-// speedLog returns the logarithm of a kind's factor on the run time.
-func (r *Router) speedLog(kind string) float64 {
-	if s := r.speeds[kind]; s != nil && s.Count >= speedTrust && r.uses(KindSpeedLearning) {
+// logSpeed returns the logarithm of a kind's factor on the run time.
+func (r *Router) logSpeed(kind string) float64 {
+	if s := r.kindSpeeds[kind]; s != nil && s.Count >= minSpeedSamples && r.isEnabled(KindSpeedLearning) {
 		return s.Log
 	}
 	return 0
 }
 
-// speed returns a kind's factor on the run time.
-func (r *Router) speed(kind string) float64 {
-	s := r.speeds[kind]
-	if s == nil || s.Count < speedTrust || !r.uses(KindSpeedLearning) {
+// speedFactor returns a kind's factor on the run time.
+func (r *Router) speedFactor(kind string) float64 {
+	s := r.kindSpeeds[kind]
+	if s == nil || s.Count < minSpeedSamples || !r.isEnabled(KindSpeedLearning) {
 		return 1
 	}
-	if s.factor == 0 || s.asked != s.Log {
-		s.factor, s.asked = math.Exp(s.Log), s.Log
+	if s.factor == 0 || s.factorLog != s.Log {
+		s.factor, s.factorLog = math.Exp(s.Log), s.Log
 	}
 	return s.factor
 }
 
-// expectAt returns the expected run time of one task of a job at a target.
-func (r *Router) expectAt(j *job, t *target) time.Duration {
-	return time.Duration(float64(j.task) * r.speed(t.kind()))
+// expectedRunTimeAt returns the expected run time of one task of a job at a target.
+func (r *Router) expectedRunTimeAt(j *job, t *target) time.Duration {
+	return time.Duration(float64(j.taskRunTime) * r.speedFactor(t.kind()))
 }
 
 // kind returns the target's kind, which is its first label.
@@ -188,78 +188,78 @@
 	return t.Labels[0]
 }
 
-// lessons returns what was learned, for the other hosts.
-func (r *Router) lessons() ([]RouteStats, []KindSpeed) {
-	var lessons []RouteStats
-	for _, route := range sortedKeys(r.learned) {
-		h := r.learned[route]
-		lessons = append(lessons, RouteStats{
+// routes returns what was learned, for the other hosts.
+func (r *Router) routes() ([]RouteStats, []KindSpeed) {
+	var routes []RouteStats
+	for _, route := range sortedKeys(r.routeModels) {
+		h := r.routeModels[route]
+		routes = append(routes, RouteStats{
 			Route: route, Count: h.count, MeanX: h.meanX, MeanY: h.meanY, VarX: h.varX, CovXY: h.covXY,
 			Timeouts: h.timeouts.count, MeanTimeout: h.timeouts.mean, VarTimeout: h.timeouts.variance,
 		})
 	}
 	var speeds []KindSpeed
-	for _, kind := range sortedKeys(r.speeds) {
-		speeds = append(speeds, *r.speeds[kind])
+	for _, kind := range sortedKeys(r.kindSpeeds) {
+		speeds = append(speeds, *r.kindSpeeds[kind])
 	}
-	return lessons, speeds
+	return routes, speeds
 }
 
 const (
-	// keepEvery is the period at which a holder writes what it has learned to the store:
+	// learnedStateSaveInterval is the period at which a holder writes what it has learned to the store:
 	// what is lost with all hosts is a small part of it.
-	keepEvery = 10 * time.Second
-	// mostKept bounds the routes that are written, the busiest first: 90 bytes each, in a
+	learnedStateSaveInterval = 10 * time.Second
+	// maxSavedRoutes bounds the routes that are written, the busiest first: 90 bytes each, in a
 	// row of 64 KB.
-	mostKept = 400
+	maxSavedRoutes = 400
 )
 
-// keep writes what was learned to the store when it is due.
-func (r *Router) keep() {
+// saveLearnedState writes what was learned to the store when it is due.
+func (r *Router) saveLearnedState() {
 	c := r.cells[r.Self.Zone]
-	if c == nil || !c.mine || r.now.Sub(later(r.kept, c.acquired)) < keepEvery {
+	if c == nil || !c.heldHere || r.now.Sub(later(r.learnedStateSavedAt, c.acquiredAt)) < learnedStateSaveInterval {
 		return
 	}
-	r.kept = r.now
-	lessons, speeds := r.lessons()
-	slices.SortStableFunc(lessons, func(a, b RouteStats) int { return cmp.Compare(b.Count, a.Count) })
-	r.emit(SaveLearnedState{Routes: lessons[:min(len(lessons), mostKept)], Speeds: speeds})
+	r.learnedStateSavedAt = r.now
+	routes, speeds := r.routes()
+	slices.SortStableFunc(routes, func(a, b RouteStats) int { return cmp.Compare(b.Count, a.Count) })
+	r.emit(SaveLearnedState{Routes: routes[:min(len(routes), maxSavedRoutes)], Speeds: speeds})
 }
 
-// handleLessons takes what earlier holders have written to the store.
-func (r *Router) handleLessons(e LearnedStateRead) {
-	for _, kept := range e.Saved {
-		if err := checkLessons(kept.Routes, kept.Speeds); err != nil {
+// handleLearnedStateRead takes what earlier holders have written to the store.
+func (r *Router) handleLearnedStateRead(e LearnedStateRead) {
+	for _, saved := range e.Saved {
+		if err := checkLearnedState(saved.Routes, saved.Speeds); err != nil {
 			r.emit(Decision{Action: "ignore", Pairs: []any{"kind", "lessons", "error", err.Error()}})
 			continue
 		}
-		r.study(kept.Routes, kept.Speeds)
+		r.mergeLearnedState(saved.Routes, saved.Speeds)
 	}
-	r.emit(Decision{Action: "recall", Pairs: []any{"rows", len(e.Saved), "routes", len(r.learned)}})
+	r.emit(Decision{Action: "recall", Pairs: []any{"rows", len(e.Saved), "routes", len(r.routeModels)}})
 }
 
-// study takes what another host has learned from more tasks than this one. Run
+// mergeLearnedState takes what another host has learned from more tasks than this one. Run
 // times and speeds only make sense together.
-func (r *Router) study(lessons []RouteStats, speeds []KindSpeed) {
-	theirs, own := 0, 0
-	for _, l := range lessons {
-		theirs += l.Count
+func (r *Router) mergeLearnedState(routes []RouteStats, speeds []KindSpeed) {
+	receivedCount, ownCount := 0, 0
+	for _, l := range routes {
+		receivedCount += l.Count
 	}
-	for _, h := range r.learned {
-		own += h.count
+	for _, h := range r.routeModels {
+		ownCount += h.count
 	}
-	if theirs <= own {
+	if receivedCount <= ownCount {
 		return
 	}
-	clear(r.learned)
-	clear(r.speeds)
-	for _, l := range lessons {
-		r.learned[l.Route] = &history{
+	clear(r.routeModels)
+	clear(r.kindSpeeds)
+	for _, l := range routes {
+		r.routeModels[l.Route] = &history{
 			count: l.Count, meanX: l.MeanX, meanY: l.MeanY, varX: l.VarX, covXY: l.CovXY,
-			timeouts: timeouts{count: l.Timeouts, mean: l.MeanTimeout, variance: l.VarTimeout},
+			timeouts: timeoutStats{count: l.Timeouts, mean: l.MeanTimeout, variance: l.VarTimeout},
 		}
 	}
 	for _, s := range slices.Clone(speeds) {
-		r.speeds[s.Kind] = &s
+		r.kindSpeeds[s.Kind] = &s
 	}
 }
--- a/internal/router/learn_test.go
+++ b/internal/router/learn_test.go
@@ -7,55 +7,55 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// taught is a holder that has learned from so many runs of 100 ms.
-func taught(t *testing.T, runs int) *holderBed {
+// newTrainedBed is a holder that has learned from so many runs of 100 ms.
+func newTrainedBed(t *testing.T, runs int) *holderBed {
 	t.Helper()
 	b := newHolderBed(t, 3, ClaimWon)
 	for range runs {
-		b.ran(100*time.Millisecond, false)
+		b.recordRun(100*time.Millisecond, false)
 	}
 	return b
 }
 
-// ran learns from a run that has taken so long since the holder knows of it.
-func (b *holderBed) ran(span time.Duration, adopted bool) {
-	b.router.learnFrom(&run{job: &job{spec: pair("j")}, target: b.router.targets["p"], sent: b.router.now.Add(-span), adopted: adopted})
+// recordRun learns from a run that has taken so long since the holder knows of it.
+func (b *holderBed) recordRun(runTime time.Duration, adopted bool) {
+	b.router.recordRunTime(&run{job: &job{spec: twoTaskJob("j")}, target: b.router.targets["p"], sentAt: b.router.now.Add(-runTime), adopted: adopted})
 }
 
-// expected returns the expected run time of a task.
-func (b *holderBed) expected() float64 {
-	spec := pair("j")
-	return b.router.predict(&spec).Seconds()
+// predictedSeconds returns the expected run time of a task.
+func (b *holderBed) predictedSeconds() float64 {
+	spec := twoTaskJob("j")
+	return b.router.predictRunTime(&spec).Seconds()
 }
 
-// TestAdoptedRunsTeachNothing: of runs that an earlier holder has started only the rest is
+// TestAdoptedRunsDoNotChangePrediction: of runs that an earlier holder has started only the rest is
 // seen.
-func TestAdoptedRunsTeachNothing(t *testing.T) {
-	b := taught(t, 0)
-	for range 2 * historyTrust {
-		b.ran(10*time.Millisecond, true)
+func TestAdoptedRunsDoNotChangePrediction(t *testing.T) {
+	b := newTrainedBed(t, 0)
+	for range 2 * minRouteSamples {
+		b.recordRun(10*time.Millisecond, true)
 	}
-	assert.InDelta(t, 0.1, b.expected(), 0.001, "as declared")
+	assert.InDelta(t, 0.1, b.predictedSeconds(), 0.001, "as declared")
 }
 
-// TestWrongHistoryIsForgotten: tasks that take nine times as long as was learned are not
+// TestWrongRouteModelIsReset: tasks that take nine times as long as was learned are not
 // taken for outliers for good.
-func TestWrongHistoryIsForgotten(t *testing.T) {
-	b := taught(t, 10*historyTrust)
-	for range 3 * historyTrust {
-		b.ran(900*time.Millisecond, false)
+func TestWrongRouteModelIsReset(t *testing.T) {
+	b := newTrainedBed(t, 10*minRouteSamples)
+	for range 3 * minRouteSamples {
+		b.recordRun(900*time.Millisecond, false)
 	}
-	assert.InDelta(t, 0.9, b.expected(), 0.1)
+	assert.InDelta(t, 0.9, b.predictedSeconds(), 0.1)
 }
 
-// TestOutliersTeachNothing: a sixth of the targets being slow changes nothing.
-func TestOutliersTeachNothing(t *testing.T) {
-	b := taught(t, 10*historyTrust)
-	for range 10 * historyTrust {
-		b.ran(900*time.Millisecond, false)
+// TestOutliersDoNotChangePrediction: a sixth of the targets being slow changes nothing.
+func TestOutliersDoNotChangePrediction(t *testing.T) {
+	b := newTrainedBed(t, 10*minRouteSamples)
+	for range 10 * minRouteSamples {
+		b.recordRun(900*time.Millisecond, false)
 		for range 5 {
-			b.ran(100*time.Millisecond, false)
+			b.recordRun(100*time.Millisecond, false)
 		}
 	}
-	assert.InDelta(t, 0.1, b.expected(), 0.01)
+	assert.InDelta(t, 0.1, b.predictedSeconds(), 0.01)
 }
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// listing takes the lists of a target's good answer.
-func (r *Router) listing(t *target, e RenewAnswered) {
-	t.read(e.Clock)
-	if e.StartedAt > 0 && t.born > 0 && e.StartedAt != t.born {
-		r.reborn(t, e.StartedAt)
+// handleRunList takes the lists of a target's good answer.
+func (r *Router) handleRunList(t *target, e RenewAnswered) {
+	t.updateClock(e.Clock)
+	if e.StartedAt > 0 && t.incarnation > 0 && e.StartedAt != t.incarnation {
+		r.handleTargetRestart(t, e.StartedAt)
 	}
 	if e.StartedAt > 0 {
-		t.born = e.StartedAt
+		t.incarnation = e.StartedAt
 	}
-	t.fresh = later(t.fresh, e.SentAt)
-	if t.misses > 0 {
-		t.misses = 0
+	t.lastConfirmedAt = later(t.lastConfirmedAt, e.SentAt)
+	if t.missedRenewals > 0 {
+		t.missedRenewals = 0
 		r.logTarget(t, "answers")
 	}
 	if !t.fenced {
-		t.fenced, t.found = true, r.now
+		t.fenced, t.fencedAt = true, r.now
 		r.logTarget(t, "fenced", "token", t.token, "running", len(e.Running), "ended", len(e.Ended))
 	}
 	for _, end := range e.Ended {
-		if end.Number > t.acked {
-			t.acked = end.Number
-			r.endOf(t, end)
+		if end.Number > t.lastAckedEnd {
+			t.lastAckedEnd = end.Number
+			r.handleEnd(t, end)
 		}
 	}
-	r.report()                       // before the next renewal, which lets the target forget the ends
-	if e.Clock.Millis >= t.listing { // answers on other connections may overtake
-		t.listing = e.Clock.Millis
-		r.compare(t, e)
-		r.clearOrphans(t)
+	r.sendProgress()                   // before the next renewal, which lets the target forget the ends
+	if e.Clock.Millis >= t.listClock { // answers on other connections may overtake
+		t.listClock = e.Clock.Millis
+		r.reconcileRuns(t, e)
+		r.stopOrphans(t)
 	}
-	r.dirty = true
+	r.placementNeeded = true
 }
 
 func later(a, b time.Time) time.Time {
@@ -45,81 +45,81 @@
 	return b
 }
 
-// endOf takes one end.
-func (r *Router) endOf(t *target, end End) {
-	delete(t.orphan, end.Task)
+// handleEnd takes one end.
+func (r *Router) handleEnd(t *target, end End) {
+	delete(t.orphans, end.Task)
 	n := t.runs[end.Task]
 	if n != nil && n.number == end.Run {
-		r.over(n, end.Reason)
+		r.endRun(n, end.Reason)
 		return
 	}
 	if end.Reason != EndDone {
 		return
 	}
-	id, index, ok := splitTask(end.Task)
+	id, index, ok := parseTaskName(end.Task)
 	if !ok {
 		return
 	}
 	if j := r.jobs[id]; j != nil && index < len(j.tasks) {
-		r.taskDone(j, index)
+		r.completeTask(j, index)
 		return
 	}
-	t.finished[end.Task] = end
+	t.unmatchedEnds[end.Task] = end
 }
 
-// compare holds what is listed as running against what is known.
-func (r *Router) compare(t *target, e RenewAnswered) {
+// reconcileRuns holds what is listed as running against what is known.
+func (r *Router) reconcileRuns(t *target, e RenewAnswered) {
 	listed := make(map[string]int, len(e.Running))
-	for _, live := range e.Running {
-		listed[live.Task] = live.Run
+	for _, entry := range e.Running {
+		listed[entry.Task] = entry.Run
 	}
 	for _, name := range sortedKeys(t.runs) {
 		n := t.runs[name]
-		if _, there := listed[name]; !there && !n.settled.IsZero() && e.SentAt.After(n.settled) {
-			r.over(n, EndLeaseExpired)
+		if _, isListed := listed[name]; !isListed && !n.confirmedAt.IsZero() && e.SentAt.After(n.confirmedAt) {
+			r.endRun(n, EndLeaseExpired)
 		}
 	}
-	for name := range t.orphan {
-		if _, there := listed[name]; !there {
-			delete(t.orphan, name)
+	for name := range t.orphans {
+		if _, isListed := listed[name]; !isListed {
+			delete(t.orphans, name)
 		}
 	}
-	for _, live := range e.Running {
-		if n := t.runs[live.Task]; n != nil && n.number >= live.Run {
-			if n.number == live.Run {
-				r.progress(n, live.Percent)
+	for _, entry := range e.Running {
+		if n := t.runs[entry.Task]; n != nil && n.number >= entry.Run {
+			if n.number == entry.Run {
+				r.handleRunProgress(n, entry.Percent)
 			}
 			continue
 		}
-		r.unknownRun(t, live)
+		r.handleUnknownRun(t, entry)
 	}
 }
 
-// unknownRun takes a run that this host did not start: of an earlier holder, or
+// handleUnknownRun takes a run that this host did not start: of an earlier holder, or
 // an order that was carried out late.
-func (r *Router) unknownRun(t *target, live RunningTask) {
-	id, index, ok := splitTask(live.Task)
-	if j := r.jobs[id]; ok && j != nil && r.adoptRun(t, j, index, live) {
+func (r *Router) handleUnknownRun(t *target, entry RunningTask) {
+	id, index, ok := parseTaskName(entry.Task)
+	if j := r.jobs[id]; ok && j != nil && r.adoptRun(t, j, index, entry) {
 		return
 	}
-	t.orphan[live.Task] = live.Run
+	t.orphans[entry.Task] = entry.Run
 }
 
 // adoptRun makes a run of an earlier holder one of this host's, if its task
 // still needs it.
-func (r *Router) adoptRun(t *target, j *job, index int, live RunningTask) bool {
-	if index >= len(j.tasks) || j.over || j.tasks[index].state != taskWaiting || j.tasks[index].former.live() {
+func (r *Router) adoptRun(t *target, j *job, index int, entry RunningTask) bool {
+	if index >= len(j.tasks) || j.ended || j.tasks[index].state != taskWaiting || j.tasks[index].previousRun.isLive() {
 		return false
 	}
 	k := &j.tasks[index]
-	n := &run{job: j, task: index, number: live.Run, target: t, need: j.spec.Need, state: runRunning, sent: r.now, settled: r.now, clock: t.listing, expect: r.expectAt(j, t), adopted: true}
-	n.lookAt = n.due(r.now, firstLook)
-	r.move(j, index, taskStart)
-	k.run, k.last, j.begun = n, max(k.last, live.Run), true
-	t.runs[live.Task] = n
+	n := &run{job: j, task: index, number: entry.Run, target: t, need: j.spec.Need, state: runRunning, sentAt: r.now, confirmedAt: r.now, startClock: t.listClock, expectedRunTime: r.expectedRunTimeAt(j, t), adopted: true}
+	n.nextPollAt = n.nextPollTime(r.now, firstPollFraction)
+	r.transitionTask(j, index, taskStart)
+	k.run, k.lastRun, j.mayHaveStarted = n, max(k.lastRun, entry.Run), true
+	t.runs[entry.Task] = n
 	t.used = t.used.plus(n.need)
-	delete(t.orphan, live.Task)
-	r.emit(Decision{Action: "takeover", Job: j.spec.ID, Task: live.Task, Target: t.ID, Pairs: []any{"run", live.Run}})
+	delete(t.orphans, entry.Task)
+	r.emit(Decision{Action: "takeover", Job: j.spec.ID, Task: entry.Task, Target: t.ID, Pairs: []any{"run", entry.Run}})
 	return true
 }
 
@@ -127,16 +127,16 @@
 	return Resources{CPU: r.CPU + part.CPU, Memory: r.Memory + part.Memory, GPU: r.GPU + part.GPU}
 }
 
-// clearOrphans stops runs that nobody has claimed in time.
-func (r *Router) clearOrphans(t *target) {
-	if len(t.orphan) == 0 || r.now.Sub(t.found) < r.Bounds.OrphanGrace || r.now.Sub(t.swept) < stopRetry {
+// stopOrphans stops runs that nobody has claimed in time.
+func (r *Router) stopOrphans(t *target) {
+	if len(t.orphans) == 0 || r.now.Sub(t.fencedAt) < r.Bounds.OrphanGrace || r.now.Sub(t.orphansStoppedAt) < stopRetryInterval {
 		return
 	}
-	t.swept = r.now
-	for _, name := range sortedKeys(t.orphan) {
-		r.stopOrphan(t, name, t.orphan[name])
+	t.orphansStoppedAt = r.now
+	for _, name := range sortedKeys(t.orphans) {
+		r.stopOrphan(t, name, t.orphans[name])
 	}
-	r.look(t)
+	r.pollTarget(t)
 }
 
 func (r *Router) stopOrphan(t *target, task string, number int) {
@@ -144,105 +144,105 @@
 	r.emit(Stop{Target: t.Target, Token: t.token, Task: task, Run: number, Timeout: r.Bounds.OrderTimeout})
 }
 
-// began takes the answer to a start.
-func (r *Router) began(e StartAnswered) {
+// handleStartAnswered takes the answer to a start.
+func (r *Router) handleStartAnswered(e StartAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
 	}
-	t.read(e.Clock)
+	t.updateClock(e.Clock)
 	n := t.runs[e.Task]
 	if n == nil || n.number != e.Run || n.state != runStarting {
 		return
 	}
 	if e.Result != Running {
 		r.emit(Decision{Action: "start", Job: n.job.spec.ID, Task: e.Task, Target: t.ID, Pairs: []any{
-			"run", e.Run, "outcome", e.Result, "took", r.since(n.sent),
+			"run", e.Run, "outcome", e.Result, "took", r.formatAge(n.sentAt),
 		}})
 	}
 	switch {
 	case e.Result == Running:
-		n.state, n.settled, n.clock = runRunning, r.now, e.Clock.Millis
-		r.measure(n.job, Started, n.sent)
-		if n.job.over || n.job.tasks[n.task].run != n {
-			r.halt(n)
+		n.state, n.confirmedAt, n.startClock = runRunning, r.now, e.Clock.Millis
+		r.emitStageDuration(n.job, Started, n.sentAt)
+		if n.job.ended || n.job.tasks[n.task].run != n {
+			r.stopRun(n)
 		}
-	case e.Result == NoAnswer && r.isRepeatable(n):
-		r.repeat(n)
-	case e.Result == NoAnswer || n.repeated:
-		r.doubt(n, e.Result)
+	case e.Result == NoAnswer && r.canRetryStart(n):
+		r.retryStart(n)
+	case e.Result == NoAnswer || n.retried:
+		r.markUnconfirmed(n, e.Result)
 	case e.Result == Invalid:
-		r.over(n, EndFailed)
+		r.endRun(n, EndFailed)
 	default:
-		r.turnedDown(t, n, e.Result)
+		r.handleRejectedStart(t, n, e.Result)
 	}
-	r.dirty = true
+	r.placementNeeded = true
 }
 
-// isRepeatable reports whether a start that was not answered is ordered once more.
-func (r *Router) isRepeatable(n *run) bool {
-	return !n.repeated && !n.job.over && r.uses(StartRetry)
+// canRetryStart reports whether a start that was not answered is ordered once more.
+func (r *Router) canRetryStart(n *run) bool {
+	return !n.retried && !n.job.ended && r.isEnabled(StartRetry)
 }
 
-// repeat orders a start once more that was not answered. The target takes a run
+// retryStart orders a start once more that was not answered. The target takes a run
 // once only, so a lost answer costs no time.
-func (r *Router) repeat(n *run) {
-	n.repeated = true
+func (r *Router) retryStart(n *run) {
+	n.retried = true
 	r.emit(CloseIdle{ID: n.target.ID})
-	r.order(n)
+	r.sendStart(n)
 }
 
-// doubt takes a run that may have begun, or may begin later: it is stopped, and
+// markUnconfirmed takes a run that may have begun, or may begin later: it is stopped, and
 // over once a list shows so. What a second order is answered says nothing of the
 // first.
-func (r *Router) doubt(n *run, result StartResult) {
+func (r *Router) markUnconfirmed(n *run, result StartResult) {
 	t := n.target
-	n.state = runDoubtful
-	r.halt(n)
+	n.state = runUnconfirmed
+	r.stopRun(n)
 	r.emit(CloseIdle{ID: t.ID})
-	r.look(t)
+	r.pollTarget(t)
 	if result == Fenced {
-		r.handleFence(t, t.token)
+		r.handleFenced(t, t.token)
 	}
 }
 
-// turnedDown takes back a run that its target did not begin.
-func (r *Router) turnedDown(t *target, n *run, result StartResult) {
+// handleRejectedStart takes back a run that its target did not begin.
+func (r *Router) handleRejectedStart(t *target, n *run, result StartResult) {
 	if result == StaleRun {
-		n.job.tasks[n.task].last += runStride
+		n.job.tasks[n.task].lastRun += runNumberStride
 	}
-	r.unstarted(n)
+	r.undoStart(n)
 	switch result {
 	case Fenced:
-		r.handleFence(t, t.token)
+		r.handleFenced(t, t.token)
 	case OrderExpired:
-		r.look(t)
+		r.pollTarget(t)
 	case NoCapacity:
-		t.barred = later(t.barred, r.now.Add(crowdedFor))
-		r.look(t)
+		t.ejectedUntil = later(t.ejectedUntil, r.now.Add(fullTargetDelay))
+		r.pollTarget(t)
 	case Unhealthy:
-		r.bar(t, unhealthyFor, "unhealthy")
+		r.ejectTarget(t, unhealthyEjectionDuration, "unhealthy")
 	case NotSent:
-		t.misses++
-		r.renew(t)
+		t.missedRenewals++
+		r.renewTarget(t)
 	case Replaced:
-		r.replaced(t)
+		r.handleReplacedTarget(t)
 	}
 }
 
-// halt orders a run to stop.
-func (r *Router) halt(n *run) {
+// stopRun orders a run to stop.
+func (r *Router) stopRun(n *run) {
 	if n.state == runRunning {
 		n.state = runStopping
 	}
-	n.stopAt = r.now
-	n.settled = time.Time{}
+	n.stopSentAt = r.now
+	n.confirmedAt = time.Time{}
 	r.emit(Stop{Target: n.target.Target, Token: n.target.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Timeout: r.Bounds.OrderTimeout})
 }
 
-// stopped takes the answer to a stop: the run is over once a list that is asked
+// handleStopAnswered takes the answer to a stop: the run is over once a list that is asked
 // for from now on lacks it.
-func (r *Router) stopped(e StopAnswered) {
+func (r *Router) handleStopAnswered(e StopAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
 		return
@@ -251,23 +251,23 @@
 	if n == nil || n.number != e.Run || !e.Acknowledged {
 		return
 	}
-	n.settled = r.now
-	r.look(t)
+	n.confirmedAt = r.now
+	r.pollTarget(t)
 }
 
-// bar leaves a target out for a while, longer each time in a row: a trial costs a job
+// ejectTarget leaves a target out for a while, longer each time in a row: a trial costs a job
 // the time until it is moved.
-func (r *Router) bar(t *target, span time.Duration, why string) {
-	if !r.now.Before(t.barred) {
-		t.strikes++
+func (r *Router) ejectTarget(t *target, duration time.Duration, reason string) {
+	if !r.now.Before(t.ejectedUntil) {
+		t.ejections++
 	}
-	span <<= min(max(t.strikes-1, 0), mostStrikes)
-	t.barred, t.trial = r.now.Add(span), true
-	r.logTarget(t, "barred", "reason", why, "span", span.String(), "failures", t.failures, "strikes", t.strikes)
+	duration <<= min(max(t.ejections-1, 0), maxEjectionDoublings)
+	t.ejectedUntil, t.onTrial = r.now.Add(duration), true
+	r.logTarget(t, "barred", "reason", reason, "span", duration.String(), "failures", t.failures, "strikes", t.ejections)
 }
 
-// freed takes a run out of its target's books.
-func (r *Router) freed(n *run) {
+// releaseCapacity takes a run out of its target's books.
+func (r *Router) releaseCapacity(n *run) {
 	name := taskName(n.job.spec.ID, n.task)
 	if n.target.runs[name] != n {
 		return
@@ -275,67 +275,67 @@
 	delete(n.target.runs, name)
 	n.target.used = n.target.used.Minus(n.need)
 	if n.target.used.CPU < 0 {
-		r.violate("room of a target", "%s has %d in use", n.target.ID, n.target.used.CPU)
+		r.reportViolation("room of a target", "%s has %d in use", n.target.ID, n.target.used.CPU)
 	}
-	r.dirty = true
+	r.placementNeeded = true
 }
 
-// unstarted takes a run back that has not begun and never will.
-func (r *Router) unstarted(n *run) {
-	r.freed(n)
-	r.requeue(n, false)
+// undoStart takes a run back that has not begun and never will.
+func (r *Router) undoStart(n *run) {
+	r.releaseCapacity(n)
+	r.requeueTask(n, false)
 }
 
-// requeue makes a task wait again after its run.
-func (r *Router) requeue(n *run, failed bool) {
+// requeueTask makes a task wait again after its run.
+func (r *Router) requeueTask(n *run, failed bool) {
 	k := &n.job.tasks[n.task]
 	if k.run != n {
 		return
 	}
 	k.run = nil
-	r.move(n.job, n.task, taskReturn)
+	r.transitionTask(n.job, n.task, taskRequeue)
 	if failed {
-		k.failed++
-		k.avoided = append(k.avoided, n.target.ID)
+		k.failures++
+		k.avoidedTargets = append(k.avoidedTargets, n.target.ID)
 	}
-	r.settle(n.job)
+	r.endOrEnqueueJob(n.job)
 }
 
-// over ends a run for good.
-func (r *Router) over(n *run, how EndReason) {
-	r.freed(n)
+// endRun ends a run for good.
+func (r *Router) endRun(n *run, reason EndReason) {
+	r.releaseCapacity(n)
 	j := n.job
-	if n.state != runDoubtful && !j.over {
-		r.judge(n, how)
+	if n.state != runUnconfirmed && !j.ended {
+		r.updateTargetHealth(n, reason)
 	}
-	r.emit(Decision{Action: "end", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Routine: how == EndDone, Pairs: []any{
-		"run", n.number, "how", how, "ran", r.since(n.sent), "state", n.state,
+	r.emit(Decision{Action: "end", Job: j.spec.ID, Task: taskName(j.spec.ID, n.task), Target: n.target.ID, Routine: reason == EndDone, Pairs: []any{
+		"run", n.number, "how", reason, "ran", r.formatAge(n.sentAt), "state", n.state,
 	}})
-	if how == EndDone {
-		r.learnFrom(n)
-		r.taskDone(j, n.task)
+	if reason == EndDone {
+		r.recordRunTime(n)
+		r.completeTask(j, n.task)
 		return
 	}
-	r.requeue(n, how == EndFailed)
+	r.requeueTask(n, reason == EndFailed)
 }
 
-// judge counts for and against a target.
-func (r *Router) judge(n *run, how EndReason) {
+// updateTargetHealth counts for and against a target.
+func (r *Router) updateTargetHealth(n *run, reason EndReason) {
 	t := n.target
-	switch how {
+	switch reason {
 	case EndDone:
-		r.noteDone(n, r.now.Sub(n.sent))
+		r.recordFinalSlowdown(n, r.now.Sub(n.sentAt))
 		t.failures = 0
 		if !n.slow {
-			t.trial, t.strikes = false, 0
+			t.onTrial, t.ejections = false, 0
 		}
 	case EndFailed:
 		t.failures++
-		if r.uses(FailingTargetEjection) && (t.failures >= failuresToBar || t.trial) {
-			r.bar(t, barFor, "failing")
+		if r.isEnabled(FailingTargetEjection) && (t.failures >= failuresToEject || t.onTrial) {
+			r.ejectTarget(t, failingEjectionDuration, "failing")
 		}
 	}
 }
 
 // avoids reports whether a target is avoided for a task.
-func (k *task) avoids(id string) bool { return slices.Contains(k.avoided, id) }
+func (k *task) avoids(id string) bool { return slices.Contains(k.avoidedTargets, id) }
--- a/internal/router/origin_test.go
+++ b/internal/router/origin_test.go
@@ -8,54 +8,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bed is one router with a peer that holds all cells.
-type bed struct {
-	router *Router
-	now    time.Time
-	peer   Member
-	last   []Effect
+// originBed is one router with a peer that holds all cells.
+type originBed struct {
+	router  *Router
+	now     time.Time
+	peer    Member
+	effects []Effect
 }
 
-const origin = 1_800_000_000
+const testEpoch = 1_800_000_000
 
-func newBed(t *testing.T) *bed {
+func newOriginBed(t *testing.T) *originBed {
 	t.Helper()
-	b := &bed{now: time.Unix(origin, 0)}
+	b := &originBed{now: time.Unix(testEpoch, 0)}
 	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	b.peer = Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
 	b.step(Tick{})
 	b.step(Registered{Slot: 2, SlotUses: 1, Members: []Member{b.peer}})
-	b.hold(1)
-	require.True(t, b.router.reaches(b.router.peers[b.peer.Address]))
+	b.receiveHeartbeat(1)
+	require.True(t, b.router.isReachable(b.router.peers[b.peer.Address]))
 	return b
 }
 
-func (b *bed) step(e Event) []Effect {
-	b.last = b.router.Step(b.now, e)
-	return b.last
+func (b *originBed) step(e Event) []Effect {
+	b.effects = b.router.Step(b.now, e)
+	return b.effects
 }
 
-// pass lets time go by in ticks, with heartbeats of the peer.
-func (b *bed) pass(d time.Duration, generation uint64) []Effect {
+// advance lets time go by in ticks, with heartbeats of the peer.
+func (b *originBed) advance(d time.Duration, generation uint64) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(b.router.Bounds.TickInterval)
-		all = append(all, b.hold(generation)...)
+		all = append(all, b.receiveHeartbeat(generation)...)
 		all = append(all, b.step(Tick{})...)
 	}
 	return all
 }
 
-// hold hears a heartbeat of the peer, which holds the zone; 0 means no claim.
-func (b *bed) hold(generation uint64) []Effect {
-	beat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}
+// receiveHeartbeat hears a heartbeat of the peer, which holds the zone; 0 means no claim.
+func (b *originBed) receiveHeartbeat(generation uint64) []Effect {
+	heartbeat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}
 	if generation > 0 {
-		beat.Claims = []Claim{{Zone: "north", Token: generation << (slotBits + lifeBits), Holder: b.peer}}
+		heartbeat.Claims = []Claim{{Zone: "north", Token: generation << (slotBits + slotUseBits), Holder: b.peer}}
 	}
-	return b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: beat}})
+	return b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: heartbeat}})
 }
 
-func pair(id string) Job {
+func twoTaskJob(id string) Job {
 	return Job{ID: id, Route: "r", Service: "work", Count: 2, Need: Resources{CPU: 1000, Memory: 1}, ExpectedRunTime: 100 * time.Millisecond, MaxAttempts: 2, Stretch: 1.6}
 }
 
@@ -81,60 +81,60 @@
 	return list
 }
 
-func (b *bed) verdict(v Verdict) []Effect {
+func (b *originBed) receiveVerdict(v Verdict) []Effect {
 	return b.step(Receive{From: b.peer.Address, Message: Message{Verdict: &v}})
 }
 
-// TestRefusalIsTrue: a holder that was offered a job twice, over a link that was
+// TestReofferedJobIsNotReportedAsRefused: a holder that was offered a job twice, over a link that was
 // made anew, may have begun it before it lost the cell. Its word that it does not
 // hold the cell answers the second offer only, so a later refusal would not be
 // true.
-func TestRefusalIsTrue(t *testing.T) {
-	b := newBed(t)
-	effects := b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
+func TestReofferedJobIsNotReportedAsRefused(t *testing.T) {
+	b := newOriginBed(t)
+	effects := b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
 	require.Len(t, offers(effects), 1)
 	require.Len(t, offers(b.step(LinkOpened{Address: b.peer.Address})), 1)
-	b.verdict(Verdict{ID: "j", Outcome: WrongHolder})
-	again := offers(b.pass(40*time.Millisecond, 1))
-	require.NotEmpty(t, again)
-	assert.True(t, again[0].Reoffered, "the next offer tells that the job may have begun")
-	got := answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload}))
+	b.receiveVerdict(Verdict{ID: "j", Outcome: WrongHolder})
+	offered := offers(b.advance(40*time.Millisecond, 1))
+	require.NotEmpty(t, offered)
+	assert.True(t, offered[0].Reoffered, "the next offer tells that the job may have begun")
+	got := answers(b.receiveVerdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload}))
 	require.Len(t, got, 1)
 	assert.Equal(t, Unknown, got[0].Outcome)
 }
 
-// TestElsewhere: a first offer that is turned down leaves the job untouched.
-func TestElsewhere(t *testing.T) {
-	b := newBed(t)
-	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
-	b.verdict(Verdict{ID: "j", Outcome: WrongHolder})
-	again := offers(b.pass(40*time.Millisecond, 1))
-	require.NotEmpty(t, again)
-	assert.False(t, again[0].Reoffered)
-	got := answers(b.verdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, RetryAfter: time.Second}))
+// TestJobRejectedByWrongHolderCanBeRefused: a first offer that is turned down leaves the job untouched.
+func TestJobRejectedByWrongHolderCanBeRefused(t *testing.T) {
+	b := newOriginBed(t)
+	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
+	b.receiveVerdict(Verdict{ID: "j", Outcome: WrongHolder})
+	offered := offers(b.advance(40*time.Millisecond, 1))
+	require.NotEmpty(t, offered)
+	assert.False(t, offered[0].Reoffered)
+	got := answers(b.receiveVerdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload, RetryAfter: time.Second}))
 	require.Len(t, got, 1)
 	assert.Equal(t, Refused, got[0].Outcome)
 	assert.Equal(t, time.Second, got[0].RetryAfter)
 }
 
-// TestTakeoverIsAwaited: a job that has run for a while is not given up the moment
+// TestRequestWaitsForTakeover: a job that has run for a while is not given up the moment
 // its holder falls silent; the next one takes it over.
-func TestTakeoverIsAwaited(t *testing.T) {
-	b := newBed(t)
-	b.step(Submit{Request: 1, Job: pair("j"), Budget: 8 * time.Second})
-	assert.Empty(t, answers(b.pass(2*time.Second, 1)))
+func TestRequestWaitsForTakeover(t *testing.T) {
+	b := newOriginBed(t)
+	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 8 * time.Second})
+	assert.Empty(t, answers(b.advance(2*time.Second, 1)))
 	b.now = b.now.Add(b.router.Bounds.PeerTimeout + b.router.Bounds.TickInterval)
 	assert.Empty(t, answers(b.step(Tick{})), "the holder has just fallen silent")
-	assert.NotEmpty(t, offers(b.hold(2)), "the job is offered under the new claim")
+	assert.NotEmpty(t, offers(b.receiveHeartbeat(2)), "the job is offered under the new claim")
 }
 
-// TestUnheld: without a holder, a job that was never offered is refused as not
+// TestRequestWithoutHolderIsRefused: without a holder, a job that was never offered is refused as not
 // run within the time of a claim.
-func TestUnheld(t *testing.T) {
-	b := &bed{now: time.Unix(origin, 0)}
+func TestRequestWithoutHolderIsRefused(t *testing.T) {
+	b := &originBed{now: time.Unix(testEpoch, 0)}
 	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	b.step(Tick{})
-	b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})
+	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
 	var got []Verdict
 	for range 40 {
 		b.now = b.now.Add(b.router.Bounds.TickInterval)
@@ -145,13 +145,13 @@
 	assert.Positive(t, got[0].RetryAfter)
 }
 
-// TestSharing: a large deployment is not flooded with each new configuration. A
+// TestConfigIsSentOnceToOutdatedPeer: a large deployment is not flooded with each new configuration. A
 // host passes it on only to peers that do not read it by themselves, once, and a
 // host that holds nothing never passes the directory on.
-func TestSharing(t *testing.T) {
-	b := newBed(t)
-	b.router.adopt(&Config{Version: 7}, "store")
-	b.router.take(Directory{Version: 9, Targets: entries(2)}, b.now, "peer")
+func TestConfigIsSentOnceToOutdatedPeer(t *testing.T) {
+	b := newOriginBed(t)
+	b.router.adoptConfig(&Config{Version: 7}, "store")
+	b.router.adoptDirectory(Directory{Version: 9, Targets: newTargets(2)}, b.now, "peer")
 	sent := func(effects []Effect) (configs, directories int) {
 		for _, e := range effects {
 			if s, ok := e.(Send); ok && s.Message.Config != nil {
@@ -163,29 +163,29 @@
 		}
 		return configs, directories
 	}
-	configs, directories := sent(b.pass(shareDelay-2*b.router.Bounds.TickInterval, 1))
+	configs, directories := sent(b.advance(minConfigSendDelay-2*b.router.Bounds.TickInterval, 1))
 	assert.Zero(t, configs, "the peer has had no time to read it")
-	more, further := sent(b.pass(shareStagger+4*b.router.Bounds.TickInterval, 1))
+	more, further := sent(b.advance(configSendStagger+4*b.router.Bounds.TickInterval, 1))
 	assert.Equal(t, 1, more)
 	assert.Zero(t, directories+further)
 }
 
-// TestDeadHolderAfterStart: a host that has just started does not wait long for the
+// TestUnresponsiveHolderAfterStartIsReplaced: a host that has just started does not wait long for the
 // holder that the store names when no other host reaches it either.
-func TestDeadHolderAfterStart(t *testing.T) {
+func TestUnresponsiveHolderAfterStartIsReplaced(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
-		b := &bed{router: r, now: time.Unix(origin, 0), peer: Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 3}}
+		b := &originBed{router: r, now: time.Unix(testEpoch, 0), peer: Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 3}}
 		gone := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 1}
 		b.step(Tick{})
-		claim := Claim{Zone: "north", Token: 5 << (slotBits + lifeBits), Holder: gone}
+		claim := Claim{Zone: "north", Token: 5 << (slotBits + slotUseBits), Holder: gone}
 		b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{b.peer, gone}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
 		var claimed time.Duration
 		for start := b.now; claimed == 0 && b.now.Sub(start) < time.Second; {
 			b.now = b.now.Add(r.Bounds.TickInterval)
-			beat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), ReachesHolder: held}
-			b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: beat}})
-			if len(only[WriteClaims](b.step(Tick{}))) > 0 {
+			heartbeat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), ReachesHolder: held}
+			b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: heartbeat}})
+			if len(effectsOf[WriteClaims](b.step(Tick{}))) > 0 {
 				claimed = b.now.Sub(start)
 			}
 		}
@@ -198,54 +198,54 @@
 	}
 }
 
-// TestDoubtfulHolder: while the holder is quiet, requests are kept, and go to it with
+// TestSuspectHolderIsNotOffered: while the holder is quiet, requests are kept, and go to it with
 // its next heartbeat as if they had just come.
-func TestDoubtfulHolder(t *testing.T) {
-	b := newBed(t)
+func TestSuspectHolderIsNotOffered(t *testing.T) {
+	b := newOriginBed(t)
 	b.now = b.now.Add(2 * b.router.Bounds.HeartbeatInterval)
-	assert.Empty(t, offers(b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})))
-	effects := b.hold(1)
+	assert.Empty(t, offers(b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})))
+	effects := b.receiveHeartbeat(1)
 	b.now = b.now.Add(b.router.Bounds.TickInterval)
 	list := offers(append(effects, b.step(Tick{})...))
 	require.Len(t, list, 1)
 	assert.False(t, list[0].Reoffered)
 }
 
-// TestClaimsInHeartbeats: claims go with the next heartbeat once they have changed, and
+// TestClaimsAreInFewHeartbeats: claims go with the next heartbeat once they have changed, and
 // now and then.
-func TestClaimsInHeartbeats(t *testing.T) {
-	b := newBed(t)
-	told := func(d time.Duration, generation uint64) (with, all int) {
-		for _, e := range only[Send](b.pass(d, generation)) {
-			if beat := e.Message.Heartbeat; beat != nil {
+func TestClaimsAreInFewHeartbeats(t *testing.T) {
+	b := newOriginBed(t)
+	counts := func(d time.Duration, generation uint64) (withClaims, all int) {
+		for _, e := range effectsOf[Send](b.advance(d, generation)) {
+			if heartbeat := e.Message.Heartbeat; heartbeat != nil {
 				all++
-				if len(beat.Claims) > 0 {
-					with++
+				if len(heartbeat.Claims) > 0 {
+					withClaims++
 				}
 			}
 		}
-		return with, all
+		return withClaims, all
 	}
-	told(time.Second, 1)
-	with, all := told(4*time.Second, 1)
-	assert.GreaterOrEqual(t, with, 8)
-	assert.LessOrEqual(t, with, all/4)
-	with, _ = told(b.router.Bounds.HeartbeatInterval, 2)
-	assert.Equal(t, 1, with, "the claim has changed")
+	counts(time.Second, 1)
+	withClaims, all := counts(4*time.Second, 1)
+	assert.GreaterOrEqual(t, withClaims, 8)
+	assert.LessOrEqual(t, withClaims, all/4)
+	withClaims, _ = counts(b.router.Bounds.HeartbeatInterval, 2)
+	assert.Equal(t, 1, withClaims, "the claim has changed")
 }
 
-// TestCompletedByFormerHolder: a holder that has completed a job just as another took
+// TestCompletionByPreviousHolderIsAccepted: a holder that has completed a job just as another took
 // over is believed, and the other gives the job up.
-func TestCompletedByFormerHolder(t *testing.T) {
-	b := newBed(t)
-	require.Len(t, offers(b.step(Submit{Request: 1, Job: pair("j"), Budget: 5 * time.Second})), 1)
-	former := b.peer
+func TestCompletionByPreviousHolderIsAccepted(t *testing.T) {
+	b := newOriginBed(t)
+	require.Len(t, offers(b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})), 1)
+	previous := b.peer
 	b.peer = Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3}
-	require.Len(t, offers(b.hold(2)), 1)
-	effects := b.step(Receive{From: former.Address, Message: Message{Verdict: &Verdict{ID: "j", Outcome: Complete}}})
+	require.Len(t, offers(b.receiveHeartbeat(2)), 1)
+	effects := b.step(Receive{From: previous.Address, Message: Message{Verdict: &Verdict{ID: "j", Outcome: Complete}}})
 	require.Len(t, answers(effects), 1)
 	assert.Equal(t, Complete, answers(effects)[0].Outcome)
-	sends := only[Send](effects)
+	sends := effectsOf[Send](effects)
 	require.Len(t, sends, 1)
 	assert.Equal(t, b.peer.Address, sends[0].To)
 	assert.NotNil(t, sends[0].Message.Withdraw)
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -8,54 +8,54 @@
 // peer is another entry host as this one knows it.
 type peer struct {
 	member Member
-	// sent is the newest time on the peer's clock that was heard, and echoed
+	// lastPeerTimestamp is the newest time on the peer's clock that was heard, and echoed
 	// the newest time of this host that came back.
-	sent   int64
-	echoed time.Time
-	since  time.Time // in touch without a break since then
-	heard  time.Time // last message
+	lastPeerTimestamp int64
+	lastEchoedAt      time.Time
+	reachableSince    time.Time // in touch without a break since then
+	lastReceivedAt    time.Time // last message
 	// leaving tells that the peer is shutting down.
 	leaving bool
-	// held tells that the peer reaches the holder of its zone's cell.
-	held      bool
-	config    uint64
-	directory uint64
-	age       time.Duration
-	met       bool // has been in touch in this life
-	// near tells that heartbeats go to the peer at the short period, nearSince since
+	// reachesHolder tells that the peer reaches the holder of its zone's cell.
+	reachesHolder    bool
+	configVersion    uint64
+	directoryVersion uint64
+	directoryAge     time.Duration
+	wasReachable     bool // has been in touch in this life
+	// monitored tells that heartbeats go to the peer at the short period, nearSince since
 	// when, and asked until when it wants them.
-	near      bool
-	nearSince time.Time
-	asked     time.Time
-	dialled   bool
-	// dead is when the peer was found not to answer, and severed tells that its
+	monitored             bool
+	monitoredSince        time.Time
+	heartbeatsRequestedAt time.Time
+	dialled               bool
+	// unresponsiveSince is when the peer was found not to answer, and severed tells that its
 	// process has gone rather than that it may be behind a cut.
-	dead      time.Time
-	severed   bool
-	trusted   bool // jobs of its clients may run
-	redialled time.Time
-	// toldConfig is the version of the configuration that was last sent to the peer,
+	unresponsiveSince time.Time
+	exited            bool
+	jobsAllowed       bool // jobs of its clients may run
+	lastRedialAt      time.Time
+	// sentConfigVersion is the version of the configuration that was last sent to the peer,
 	// and told is when.
-	toldConfig uint64
-	told       time.Time
-	// toldDirectory is the version of the directory that was last sent to the peer, and
+	sentConfigVersion uint64
+	configSentAt      time.Time
+	// sentDirectoryVersion is the version of the directory that was last sent to the peer, and
 	// toldTargets is when.
-	toldDirectory uint64
-	toldTargets   time.Time
-	claimed       time.Time // when it was last sent the claims
-	toldFormer    uint64    // token of the claim under which it was told of former targets
+	sentDirectoryVersion     uint64
+	directorySentAt          time.Time
+	claimsSentAt             time.Time // when it was last sent the claims
+	previousTargetsSentToken uint64    // token of the claim under which it was told of former targets
 }
 
-// reaches reports whether messages pass both ways: a time of this host's clock
+// isReachable reports whether messages pass both ways: a time of this host's clock
 // that came back is no older than the bound. It holds through one-way cuts,
 // frozen peers and delayed messages alike.
-func (r *Router) reaches(p *peer) bool {
-	return !p.echoed.IsZero() && r.now.Sub(p.echoed) <= r.silence(p)
+func (r *Router) isReachable(p *peer) bool {
+	return !p.lastEchoedAt.IsZero() && r.now.Sub(p.lastEchoedAt) <= r.peerTimeout(p)
 }
 
-// trusts reports whether the jobs of the peer's clients may run on.
-func (r *Router) trusts(p *peer) bool {
-	return !p.echoed.IsZero() && r.now.Sub(p.echoed) <= r.Bounds.OriginTimeout
+// mayRunJobsOf reports whether the jobs of the peer's clients may run on.
+func (r *Router) mayRunJobsOf(p *peer) bool {
+	return !p.lastEchoedAt.IsZero() && r.now.Sub(p.lastEchoedAt) <= r.Bounds.OriginTimeout
 }
 
 func (r *Router) sortedPeers() []*peer {
@@ -75,9 +75,9 @@
 	}
 	p := r.peers[m.Address]
 	if p == nil {
-		p = &peer{member: m, heard: r.now}
+		p = &peer{member: m, lastReceivedAt: r.now}
 		r.peers[m.Address] = p
-		r.updateNear(p)
+		r.updateMonitored(p)
 	}
 	return p
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// receive takes a message of a peer.
-func (r *Router) receive(e Receive) {
+// handleMessage takes a message of a peer.
+func (r *Router) handleMessage(e Receive) {
 	if err := e.Message.Check(); err != nil {
 		r.emit(Decision{Action: "ignore", Pairs: []any{"from", e.From, "kind", e.Message.Kind(), "error", err.Error()}})
 		return
@@ -106,166 +106,166 @@
 	}
 	switch m := e.Message; {
 	case m.Offer != nil:
-		r.offered(p, m.Offer)
+		r.handleOffer(p, m.Offer)
 	case m.Withdraw != nil:
-		r.withdrawn(p, m.Withdraw.ID)
+		r.handleWithdraw(p, m.Withdraw.ID)
 	case m.Verdict != nil:
-		r.judged(p.member.Address, *m.Verdict)
+		r.handleVerdict(p.member.Address, *m.Verdict)
 	case m.Progress != nil:
-		r.progressed(m.Progress)
+		r.handleProgress(m.Progress)
 	case m.Config != nil:
-		r.adopt(m.Config, "peer")
+		r.adoptConfig(m.Config, "peer")
 	case m.Directory != nil:
 		r.handleDirectory(p, *m.Directory)
 	case m.PreviousTargets != nil:
-		r.handleFormer(m.PreviousTargets)
+		r.handlePreviousTargets(m.PreviousTargets)
 	}
 }
 
 // handleHeartbeat takes a heartbeat. A brief one, without the sender's name and address, only
 // says something of the process that the sender is known by.
-func (r *Router) handleHeartbeat(p *peer, b *Heartbeat) {
-	if b.Member.Address != "" {
-		p = r.identify(b.Member)
-	} else if p != nil && b.Member.Incarnation != p.member.Incarnation {
+func (r *Router) handleHeartbeat(p *peer, heartbeat *Heartbeat) {
+	if heartbeat.Member.Address != "" {
+		p = r.identifyPeer(heartbeat.Member)
+	} else if p != nil && heartbeat.Member.Incarnation != p.member.Incarnation {
 		return
 	}
 	if p == nil {
 		return
 	}
-	p.heard, p.dead, p.severed = r.now, time.Time{}, false
-	if b.WantsHeartbeats {
-		p.asked = r.now
+	p.lastReceivedAt, p.unresponsiveSince, p.exited = r.now, time.Time{}, false
+	if heartbeat.WantsHeartbeats {
+		p.heartbeatsRequestedAt = r.now
 	}
-	r.updateNear(p)
-	p.sent = max(p.sent, b.Sent)
-	if echo := time.Unix(0, b.Echo); b.Echo != 0 && echo.After(p.echoed) && !echo.Before(r.started) && !echo.After(r.now) {
-		p.echoed = echo
+	r.updateMonitored(p)
+	p.lastPeerTimestamp = max(p.lastPeerTimestamp, heartbeat.Sent)
+	if echo := time.Unix(0, heartbeat.Echo); heartbeat.Echo != 0 && echo.After(p.lastEchoedAt) && !echo.Before(r.startedAt) && !echo.After(r.now) {
+		p.lastEchoedAt = echo
 	}
-	p.leaving, p.held, p.config, p.directory, p.age = b.Leaving, b.ReachesHolder, b.Config, b.Directory, b.DirectoryAge
-	r.generation = max(r.generation, b.Generation)
-	r.countTargets(b.Directory, b.TargetCount)
-	before := r.cell(r.Self.Zone).claim.Token
-	for _, c := range b.Claims {
-		r.learn(c)
+	p.leaving, p.reachesHolder, p.configVersion, p.directoryVersion, p.directoryAge = heartbeat.Leaving, heartbeat.ReachesHolder, heartbeat.Config, heartbeat.Directory, heartbeat.DirectoryAge
+	r.generation = max(r.generation, heartbeat.Generation)
+	r.updateTotalTargets(heartbeat.Directory, heartbeat.TargetCount)
+	previousToken := r.cell(r.Self.Zone).claim.Token
+	for _, c := range heartbeat.Claims {
+		r.applyClaim(c)
 	}
-	if len(b.Routes) > 0 && !r.holds() {
-		r.study(b.Routes, b.Speeds)
+	if len(heartbeat.Routes) > 0 && !r.holdsAnyCell() {
+		r.mergeLearnedState(heartbeat.Routes, heartbeat.Speeds)
 	}
-	if r.reaches(p) {
-		r.inTouch(p)
+	if r.isReachable(p) {
+		r.handlePeerReachable(p)
 	}
-	if r.cell(r.Self.Zone).claim.Token != before {
-		r.reoffer()
+	if r.cell(r.Self.Zone).claim.Token != previousToken {
+		r.offerAllRequests()
 	}
 }
 
-// identify returns the peer that a heartbeat names, or nil for one of an earlier process.
-func (r *Router) identify(m Member) *peer {
+// identifyPeer returns the peer that a heartbeat names, or nil for one of an earlier process.
+func (r *Router) identifyPeer(m Member) *peer {
 	p := r.addPeer(m)
 	if p == nil || m.Incarnation < p.member.Incarnation {
 		return nil
 	}
-	if m.Incarnation > p.member.Incarnation && p.met {
-		r.lossSeen = r.now
+	if m.Incarnation > p.member.Incarnation && p.wasReachable {
+		r.lastHostLossAt = r.now
 		r.emit(Decision{Action: "peer", Pairs: []any{"peer", m.Name, "state", "restarted"}})
-		r.dropOrigin(p.member.Address)
-		*p = peer{heard: r.now, dialled: p.dialled}
+		r.endJobsOfOrigin(p.member.Address)
+		*p = peer{lastReceivedAt: r.now, dialled: p.dialled}
 	}
 	p.member = m
 	r.cell(m.Zone)
 	return p
 }
 
-// inTouch notes that messages pass both ways and passes on what the peer lacks.
-func (r *Router) inTouch(p *peer) {
-	p.trusted = true
-	if p.since.IsZero() {
-		p.since = r.now
-		p.met = true
+// handlePeerReachable notes that messages pass both ways and passes on what the peer lacks.
+func (r *Router) handlePeerReachable(p *peer) {
+	p.jobsAllowed = true
+	if p.reachableSince.IsZero() {
+		p.reachableSince = r.now
+		p.wasReachable = true
 		r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "zone", p.member.Zone, "state", "reached"}})
 	}
-	r.share(p)
+	r.sendMissingState(p)
 }
 
-// share passes on what the peer lacks. A configuration goes out only once the peer
+// sendMissingState passes on what the peer lacks. A configuration goes out only once the peer
 // has had time to read it from the store, by one host after the other, and the
 // directory by holders only: both may be large, and there are many hosts.
-func (r *Router) share(p *peer) {
-	again := r.now.Sub(p.told) >= shareAgain
-	if r.config != nil && p.config < r.config.Version && (again || p.toldConfig < r.config.Version) && r.now.Sub(r.configured) >= r.shareAfter() {
-		p.toldConfig, p.told = r.config.Version, r.now
+func (r *Router) sendMissingState(p *peer) {
+	resendDue := r.now.Sub(p.configSentAt) >= stateResendInterval
+	if r.config != nil && p.configVersion < r.config.Version && (resendDue || p.sentConfigVersion < r.config.Version) && r.now.Sub(r.configAdoptedAt) >= r.configSendDelay() {
+		p.sentConfigVersion, p.configSentAt = r.config.Version, r.now
 		r.send(p, Message{Config: r.config})
 	}
-	if r.holds() && r.related(p.member.Zone) && p.directory < r.directory.Version && r.directoryDue(p) {
-		p.toldTargets, p.toldDirectory = r.now, r.directory.Version
+	if r.holdsAnyCell() && r.sharesCells(p.member.Zone) && p.directoryVersion < r.directory.Version && r.isDirectoryDue(p) {
+		p.directorySentAt, p.sentDirectoryVersion = r.now, r.directory.Version
 		d := r.directory
 		r.send(p, Message{Directory: &d})
 	}
 }
 
 const (
-	// shareDelay is how long a peer has to read a configuration from the store:
+	// minConfigSendDelay is how long a peer has to read a configuration from the store:
 	// ten answers, and a pause of a host with a small processor share. With the
 	// stagger it stays below the time in which it must be in force (2 s).
-	shareDelay = 300 * time.Millisecond
-	// shareStagger is what each further host waits for the one before it: a
+	minConfigSendDelay = 300 * time.Millisecond
+	// configSendStagger is what each further host waits for the one before it: a
 	// heartbeat, which shows that the peer has the version.
-	shareStagger = 100 * time.Millisecond
-	// shareMost bounds the wait.
-	shareMost = time.Second
-	// shareAgain is when something is sent once more to a peer that still lacks
+	configSendStagger = 100 * time.Millisecond
+	// maxConfigSendDelay bounds the wait.
+	maxConfigSendDelay = time.Second
+	// stateResendInterval is when something is sent once more to a peer that still lacks
 	// it.
-	shareAgain = 500 * time.Millisecond
-	// directoryAgain is the period at which hosts that would not hold the cell next
+	stateResendInterval = 500 * time.Millisecond
+	// directoryResendInterval is the period at which hosts that would not hold the cell next
 	// are told of a changed directory: 80 KB for 540 targets take a quarter of a
 	// second on a link of 2.5 Mbit/s.
-	directoryAgain = 5 * time.Second
+	directoryResendInterval = 5 * time.Second
 )
 
-// shareAfter returns how long after it has taken a configuration this host passes
+// configSendDelay returns how long after it has taken a configuration this host passes
 // it on: the first candidate first.
-func (r *Router) shareAfter() time.Duration {
-	before := 0
+func (r *Router) configSendDelay() time.Duration {
+	precedingHosts := 0
 	for _, p := range r.peers {
-		if r.reaches(p) && cmp.Or(cmp.Compare(r.Self.CPUShare, p.member.CPUShare), cmp.Compare(p.member.Slot, r.Self.Slot)) < 0 {
-			before++
+		if r.isReachable(p) && cmp.Or(cmp.Compare(r.Self.CPUShare, p.member.CPUShare), cmp.Compare(p.member.Slot, r.Self.Slot)) < 0 {
+			precedingHosts++
 		}
 	}
-	return min(shareDelay+time.Duration(before)*shareStagger, shareMost)
+	return min(minConfigSendDelay+time.Duration(precedingHosts)*configSendStagger, maxConfigSendDelay)
 }
 
 // watchPeers notes which peers have fallen silent, and forgets those that
 // have been for long.
 func (r *Router) watchPeers() {
 	for _, p := range r.sortedPeers() {
-		if !p.since.IsZero() && !r.reaches(p) {
-			p.since, p.dead = time.Time{}, r.now
-			r.lossSeen = r.now
+		if !p.reachableSince.IsZero() && !r.isReachable(p) {
+			p.reachableSince, p.unresponsiveSince = time.Time{}, r.now
+			r.lastHostLossAt = r.now
 			r.emit(Decision{Action: "peer", Pairs: []any{
-				"peer", p.member.Name, "state", "silent", "age", r.now.Sub(p.echoed).String(), "bound", r.silence(p).String(),
+				"peer", p.member.Name, "state", "silent", "age", r.now.Sub(p.lastEchoedAt).String(), "bound", r.peerTimeout(p).String(),
 			}})
 		}
-		if p.near && p.dead.IsZero() && r.isSettled(p) && !r.reaches(p) {
-			p.dead = r.now
+		if p.monitored && p.unresponsiveSince.IsZero() && r.hasHadTimeToAnswer(p) && !r.isReachable(p) {
+			p.unresponsiveSince = r.now
 		}
-		if p.met && p.near && r.now.Sub(p.echoed) > r.Bounds.PeerTimeout*3/4 && r.now.Sub(p.redialled) > r.Bounds.PeerTimeout {
-			p.redialled = r.now
+		if p.wasReachable && p.monitored && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout*3/4 && r.now.Sub(p.lastRedialAt) > r.Bounds.PeerTimeout {
+			p.lastRedialAt = r.now
 			r.emit(Redial{Address: p.member.Address})
 		}
-		if p.trusted && !r.trusts(p) {
-			p.trusted = false
-			r.dropOrigin(p.member.Address)
+		if p.jobsAllowed && !r.mayRunJobsOf(p) {
+			p.jobsAllowed = false
+			r.endJobsOfOrigin(p.member.Address)
 		}
-		if r.now.Sub(p.heard) > r.forgetAfter() {
-			r.forget(p)
+		if r.now.Sub(p.lastReceivedAt) > r.memberExpiry() {
+			r.removePeer(p)
 		}
 	}
 }
 
-// linked repeats what may have been lost with an earlier connection: offers to
+// handleLinkOpened repeats what may have been lost with an earlier connection: offers to
 // the peer and verdicts for it. Both are taken once only.
-func (r *Router) linked(address string) {
+func (r *Router) handleLinkOpened(address string) {
 	p := r.peers[address]
 	if p == nil {
 		p = r.addPeer(Member{Address: address})
@@ -273,59 +273,59 @@
 	if p == nil {
 		return
 	}
-	p.dialled, p.toldFormer = true, 0
-	r.beatTo(p)
-	for _, id := range sortedKeys(r.requests) {
-		if q := r.requests[id]; q.holder == address {
+	p.dialled, p.previousTargetsSentToken = true, 0
+	r.sendFullHeartbeat(p)
+	for _, id := range sortedKeys(r.requestsByJob) {
+		if q := r.requestsByJob[id]; q.holder == address {
 			r.sendOffer(p, q)
 		}
 	}
-	for _, j := range r.ended {
+	for _, j := range r.endedJobs {
 		if j.origin == address && r.jobs[j.spec.ID] == j && j.verdict.Outcome != WrongHolder {
-			r.tell(address, j.verdict)
+			r.sendVerdict(address, j.verdict)
 		}
 	}
 }
 
-// severed notes that a peer's process has gone, without waiting for its silence.
-func (r *Router) severed(address string) {
+// handlePeerExited notes that a peer's process has gone, without waiting for its silence.
+func (r *Router) handlePeerExited(address string) {
 	p := r.peers[address]
 	if p == nil {
 		return
 	}
-	p.severed = true
-	if r.reaches(p) {
-		p.echoed = p.echoed.Add(-r.silence(p))
-		p.since, r.lossSeen = time.Time{}, r.now
+	p.exited = true
+	if r.isReachable(p) {
+		p.lastEchoedAt = p.lastEchoedAt.Add(-r.peerTimeout(p))
+		p.reachableSince, r.lastHostLossAt = time.Time{}, r.now
 		r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "gone"}})
 	}
 }
 
-// forget drops a peer. The holder of its zone's cell also removes it from the store.
-func (r *Router) forget(p *peer) {
+// removePeer drops a peer. The holder of its zone's cell also removes it from the store.
+func (r *Router) removePeer(p *peer) {
 	delete(r.peers, p.member.Address)
 	r.emit(CloseLink{Address: p.member.Address})
 	r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "state", "forgotten"}})
-	if c := r.cells[p.member.Zone]; c != nil && c.mine && p.member.Slot > 0 {
+	if c := r.cells[p.member.Zone]; c != nil && c.heldHere && p.member.Slot > 0 {
 		r.emit(RemoveMember{Member: p.member})
 	}
 }
 
-// heartbeat returns what this host tells all near peers.
-func (r *Router) heartbeat() Heartbeat {
-	age := r.now.Sub(r.located)
-	if r.located.IsZero() {
-		age = never
+// newHeartbeat returns what this host tells all near peers.
+func (r *Router) newHeartbeat() Heartbeat {
+	directoryAge := r.now.Sub(r.directoryReadAt)
+	if r.directoryReadAt.IsZero() {
+		directoryAge = unreadDirectoryAge
 	}
-	version := uint64(0)
+	configVersion := uint64(0)
 	if r.config != nil {
-		version = r.config.Version
+		configVersion = r.config.Version
 	}
 	return Heartbeat{
-		Member: r.Self, Sent: r.now.UnixNano(), Leaving: !r.leaving.IsZero(), ReachesHolder: r.holderOf(r.Self.Zone) != nil, Generation: r.generation,
-		Config: version, Directory: r.directory.Version, TargetCount: r.directory.Total, DirectoryAge: age,
+		Member: r.Self, Sent: r.now.UnixNano(), Leaving: !r.leavingSince.IsZero(), ReachesHolder: r.reachableHolder(r.Self.Zone) != nil, Generation: r.generation,
+		Config: configVersion, Directory: r.directory.Version, TargetCount: r.directory.Total, DirectoryAge: directoryAge,
 	}
 }
 
-// never is the age of a directory that was not read yet.
-const never = 24 * time.Hour
+// unreadDirectoryAge is the age of a directory that was not read yet.
+const unreadDirectoryAge = 24 * time.Hour
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// uses reports whether a mechanism is in force.
-func (r *Router) uses(m Mechanism) bool { return r.Policy.Disabled != m }
+// isEnabled reports whether a mechanism is in force.
+func (r *Router) isEnabled(m Mechanism) bool { return r.Policy.Disabled != m }
 
 // QueueOrder is which of the waiting jobs comes first.
 type QueueOrder string
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,60 +23,60 @@
 	// Seeds are addresses of other entry hosts known from the start.
 	Seeds []string
 
-	now     time.Time
-	started time.Time
-	effects []Effect
+	now       time.Time
+	startedAt time.Time
+	effects   []Effect
 
-	config     *Config
-	configured time.Time // when it was taken
-	directory  Directory
-	warm       map[string]time.Time // when connections to a target were last used as a successor, by ID
-	warmed     time.Time            // when the last of them was
-	former     map[string]*sighting // targets of other hosts' lists, by ID
-	located    time.Time            // when the directory was last read by this host
-	asked      time.Time            // when it was last asked for
-	outage     time.Time            // when reads of the directory began to fail
-	returned   time.Time            // when the store was back after its last long outage
+	config               *Config
+	configAdoptedAt      time.Time // when it was taken
+	directory            Directory
+	standbyUsedAt        map[string]time.Time       // when connections to a target were last used as a successor, by ID
+	lastStandbyUseAt     time.Time                  // when the last of them was
+	previousTargets      map[string]*previousTarget // targets of other hosts' lists, by ID
+	directoryReadAt      time.Time                  // when the directory was last read by this host
+	directoryRequestedAt time.Time                  // when it was last asked for
+	storeOutageSince     time.Time                  // when reads of the directory began to fail
+	storeReturnedAt      time.Time                  // when the store was back after its last long outage
 
-	life       int // tells this process's tokens from those of its earlier lives
-	generation uint64
-	peers      map[string]*peer // by address
-	link       int              // best known link of a host
-	total      int              // targets in the newest list that was heard of
-	counted    uint64           // version of that list
-	lossSeen   time.Time        // when a host was last found to be lost
-	split      bool             // each zone has a holder of its own
-	hub        map[string]bool  // hosts that all others of the cells are near to, by address
-	meshed     bool             // all hosts of the cells are near to each other
-	beaten     time.Time        // last heartbeat sent
-	beatenFar  time.Time        // last heartbeat sent to a peer that is not near
-	reclaimed  time.Time        // when a claim last changed
-	cells      map[string]*cell // by zone
-	claiming   *pendingClaim    // the claim under way
+	slotUses                  int // tells this process's tokens from those of its earlier lives
+	generation                uint64
+	peers                     map[string]*peer // by address
+	maxLinkRate               int              // best known link of a host
+	totalTargets              int              // targets in the newest list that was heard of
+	totalTargetsVersion       uint64           // version of that list
+	lastHostLossAt            time.Time        // when a host was last found to be lost
+	zonesSplit                bool             // each zone has a holder of its own
+	hubs                      map[string]bool  // hosts that all others of the cells are near to, by address
+	fullMesh                  bool             // all hosts of the cells are near to each other
+	lastHeartbeatAt           time.Time        // last heartbeat sent
+	lastBackgroundHeartbeatAt time.Time        // last heartbeat sent to a peer that is not near
+	lastClaimChangeAt         time.Time        // when a claim last changed
+	cells                     map[string]*cell // by zone
+	pendingClaim              *pendingClaim    // the claim under way
 
-	open     map[uint64]*request
-	requests map[string]*request // by job
+	openRequests  map[uint64]*request
+	requestsByJob map[string]*request // by job
 
-	jobs    map[string]*job
-	queue   holder.Heap[*job]
-	targets map[string]*target
-	pool    []*target // the targets, by ID
-	ended   []*job    // oldest first
-	marks   map[string][]DoneTask
-	learned map[string]*history   // by route
-	speeds  map[string]*KindSpeed // by kind of target
-	works   map[string]float64    // mean work of a job, by route
-	shares  map[string]*share     // by route
-	taught  time.Time             // when the others were last told
-	kept    time.Time             // when it was last written to the store
-	dirty   bool                  // something may be placed
-	busy    float64               // load of the usable targets
-	// progressive tells that targets tell the progress of runs.
-	progressive bool
+	jobs                map[string]*job
+	queue               holder.Heap[*job]
+	targets             map[string]*target
+	sortedTargets       []*target // the targets, by ID
+	endedJobs           []*job    // oldest first
+	unreportedTasks     map[string][]DoneTask
+	routeModels         map[string]*history   // by route
+	kindSpeeds          map[string]*KindSpeed // by kind of target
+	meanWorkByRoute     map[string]float64    // mean work of a job, by route
+	routeShares         map[string]*share     // by route
+	learnedStateSentAt  time.Time             // when the others were last told
+	learnedStateSavedAt time.Time             // when it was last written to the store
+	placementNeeded     bool                  // something may be placed
+	targetLoad          float64               // load of the usable targets
+	// targetsReportProgress tells that targets tell the progress of runs.
+	targetsReportProgress bool
 
-	lost    map[string]time.Time // when the jobs of a lost cell are dropped, by zone
-	leaving time.Time            // when the shutdown began
-	halted  bool
+	lostJobsDropAt map[string]time.Time // when the jobs of a lost cell are dropped, by zone
+	leavingSince   time.Time            // when the shutdown began
+	halted         bool
 }
 
 // Step applies one event at a time that never goes back and returns the effects.
@@ -86,9 +86,9 @@
 	if now.After(r.now) {
 		r.now = now
 	}
-	r.apply(e)
-	r.dropLost()
-	r.place()
+	r.handleEvent(e)
+	r.dropLostJobs()
+	r.placeTasks()
 	return r.effects
 }
 
@@ -96,99 +96,99 @@
 	if r.peers != nil {
 		return
 	}
-	r.started, r.now = now, now
+	r.startedAt, r.now = now, now
 	r.peers = make(map[string]*peer)
 	r.cells = make(map[string]*cell)
-	r.open = make(map[uint64]*request)
-	r.requests = make(map[string]*request)
+	r.openRequests = make(map[uint64]*request)
+	r.requestsByJob = make(map[string]*request)
 	r.jobs = make(map[string]*job)
 	r.targets = make(map[string]*target)
-	r.marks = make(map[string][]DoneTask)
-	r.learned = make(map[string]*history)
-	r.lost = make(map[string]time.Time)
-	r.former = make(map[string]*sighting)
-	r.warm = make(map[string]time.Time)
-	r.speeds = make(map[string]*KindSpeed)
-	r.works = make(map[string]float64)
-	r.shares = make(map[string]*share)
-	r.queue.Less = startsEarlier
+	r.unreportedTasks = make(map[string][]DoneTask)
+	r.routeModels = make(map[string]*history)
+	r.lostJobsDropAt = make(map[string]time.Time)
+	r.previousTargets = make(map[string]*previousTarget)
+	r.standbyUsedAt = make(map[string]time.Time)
+	r.kindSpeeds = make(map[string]*KindSpeed)
+	r.meanWorkByRoute = make(map[string]float64)
+	r.routeShares = make(map[string]*share)
+	r.queue.Less = mustStartEarlier
 	r.cell(r.Self.Zone)
 	if len(r.Seeds) > 0 {
 		r.emit(Dial{Addresses: r.Seeds})
 	}
 }
 
-func (r *Router) apply(e Event) {
+func (r *Router) handleEvent(e Event) {
 	switch e := e.(type) {
 	case Tick:
-		r.tick()
+		r.handleTick()
 	case Submit, ClientGone, Cancel, CountOpen, Inspect:
-		r.serve(e)
+		r.handleClientEvent(e)
 	case Receive:
-		r.receive(e)
+		r.handleMessage(e)
 	case Adopt:
-		r.adopt(e.Config, "store")
+		r.adoptConfig(e.Config, "store")
 	case DirectoryRead:
-		r.locate(e)
+		r.handleDirectoryRead(e)
 	case DirectoryReadFailed:
-		r.unread()
+		r.handleDirectoryReadFailed()
 	case Registered:
-		r.enrol(e)
+		r.handleRegistered(e)
 	case LearnedStateRead:
-		r.handleLessons(e)
+		r.handleLearnedStateRead(e)
 	case ClaimsWritten:
-		r.claimed(e)
+		r.handleClaimsWritten(e)
 	case StartAnswered:
-		r.began(e)
+		r.handleStartAnswered(e)
 	case StopAnswered:
-		r.stopped(e)
+		r.handleStopAnswered(e)
 	case RenewAnswered:
-		r.renewed(e)
+		r.handleRenewAnswered(e)
 	case LinkOpened:
-		r.linked(e.Address)
+		r.handleLinkOpened(e.Address)
 	case PeerExited:
-		r.severed(e.Address)
+		r.handlePeerExited(e.Address)
 	case Drain:
-		r.drain()
+		r.handleDrain()
 	}
 }
 
-// serve applies an event of a client of this host.
-func (r *Router) serve(e Event) {
+// handleClientEvent applies an event of a client of this host.
+func (r *Router) handleClientEvent(e Event) {
 	switch e := e.(type) {
 	case Submit:
-		r.submit(e)
+		r.handleSubmit(e)
 	case ClientGone:
-		r.abandon(e)
+		r.handleClientGone(e)
 	case Cancel:
-		r.cancel(e)
+		r.handleCancel(e)
 	case CountOpen:
-		r.count(e)
+		r.handleCountOpen(e)
 	case Inspect:
-		r.inspect(e)
+		r.handleInspect(e)
 	}
 }
 
-// tick does what time brings about.
-func (r *Router) tick() {
+// handleTick does what time brings about.
+func (r *Router) handleTick() {
 	r.watchPeers()
-	r.beat()
-	r.trackHolders()
+	r.sendDueHeartbeats()
+	r.trackMissingHolders()
 	r.claimCells()
-	r.publishClaims()
-	r.refresh()
-	r.standBy()
-	r.watchTargets()
-	r.watchJobs()
-	r.watchRequests()
-	r.report()
-	r.keep()
-	r.finish()
+	r.writePendingClaims()
+	r.refreshDirectory()
+	r.maintainStandbyConnections()
+	r.checkTargets()
+	r.checkJobs()
+	r.checkRequests()
+	r.sendProgress()
+	r.saveLearnedState()
+	r.finishShutdown()
 }
 
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
-func (r *Router) violate(invariant, format string, args ...any) {
+func (r *Router) reportViolation(invariant, format string, args ...any) {
 	r.emit(Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -215,57 +215,57 @@
 
 // View returns the current view.
 func (r *Router) View() View {
-	v := View{Config: r.config, Lingering: !r.leaving.IsZero(), Members: 1, Open: len(r.open), LeaseMargin: r.margin()}
-	v.Ready = r.config != nil && r.leaving.IsZero() && r.holderOf(r.Self.Zone) != nil
+	view := View{Config: r.config, Lingering: !r.leavingSince.IsZero(), Members: 1, Open: len(r.openRequests), LeaseMargin: r.leaseMargin()}
+	view.Ready = r.config != nil && r.leavingSince.IsZero() && r.reachableHolder(r.Self.Zone) != nil
 	for _, p := range r.peers {
-		if r.reaches(p) {
-			v.Members++
+		if r.isReachable(p) {
+			view.Members++
 		}
 	}
 	for _, c := range r.cells {
-		if c.mine {
-			v.HeldCells++
+		if c.heldHere {
+			view.HeldCells++
 		}
 	}
 	for _, j := range r.queue.Items() {
-		v.Waiting += j.waiting
+		view.Waiting += j.waitingCount
 	}
 	for _, t := range r.targets {
-		v.Running += len(t.runs)
+		view.Running += len(t.runs)
 	}
-	if !r.located.IsZero() {
-		v.DirectoryAge = r.now.Sub(r.located)
+	if !r.directoryReadAt.IsZero() {
+		view.DirectoryAge = r.now.Sub(r.directoryReadAt)
 	}
-	return v
+	return view
 }
 
-// adopt takes a configuration with a higher version.
-func (r *Router) adopt(c *Config, source string) {
+// adoptConfig takes a configuration with a higher version.
+func (r *Router) adoptConfig(c *Config, source string) {
 	if c == nil || r.config != nil && c.Version <= r.config.Version {
 		return
 	}
-	r.config, r.configured = c, r.now
-	r.forgetRoutes()
+	r.config, r.configAdoptedAt = c, r.now
+	r.dropRemovedRoutes()
 	r.emit(Decision{Action: "configure", Pairs: []any{"version", c.Version, "routes", len(c.Routes), "source", source}})
 }
 
-// forgetRoutes drops what was learned of routes that the configuration lacks.
-func (r *Router) forgetRoutes() {
-	kept := make(map[string]bool, len(r.config.Routes))
+// dropRemovedRoutes drops what was learned of routes that the configuration lacks.
+func (r *Router) dropRemovedRoutes() {
+	configured := make(map[string]bool, len(r.config.Routes))
 	for _, route := range r.config.Routes {
-		kept[route.Name] = true
+		configured[route.Name] = true
 	}
-	gone := func(route string) bool { return !kept[route] }
-	maps.DeleteFunc(r.shares, func(route string, _ *share) bool { return gone(route) })
-	maps.DeleteFunc(r.works, func(route string, _ float64) bool { return gone(route) })
-	maps.DeleteFunc(r.learned, func(route string, _ *history) bool { return gone(route) })
+	isRemoved := func(route string) bool { return !configured[route] }
+	maps.DeleteFunc(r.routeShares, func(route string, _ *share) bool { return isRemoved(route) })
+	maps.DeleteFunc(r.meanWorkByRoute, func(route string, _ float64) bool { return isRemoved(route) })
+	maps.DeleteFunc(r.routeModels, func(route string, _ *history) bool { return isRemoved(route) })
 }
 
 // taskName returns the name of a job's task; there is one step, without repeats.
 func taskName(job string, task int) string { return job + ".0.0." + strconv.Itoa(task) }
 
-// splitTask is the inverse of taskName.
-func splitTask(name string) (job string, task int, ok bool) {
+// parseTaskName is the inverse of taskName.
+func parseTaskName(name string) (job string, task int, ok bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return "", 0, false
--- a/internal/router/share.go
+++ b/internal/router/share.go
@@ -10,108 +10,108 @@
 // all routes together ask for more than there is.
 type share struct {
 	service string
-	// asked is the work that its jobs bring, in thousandths of a core, over the
+	// demand is the work that its jobs bring, in thousandths of a core, over the
 	// last time of shareWindow, as of noted.
-	asked float64
-	noted time.Time
-	// credit is the work, in thousandths of a core times seconds, that it may still
+	demand          float64
+	demandUpdatedAt time.Time
+	// workBudget is the work, in thousandths of a core times seconds, that it may still
 	// take within its share, as of granted.
-	credit  float64
-	granted time.Time
-	// overloaded is when the spell of overload began in which the last refusal fell.
-	overloaded, refused time.Time
+	workBudget float64
+	refilledAt time.Time
+	// overloadedSince is when the spell of overload began in which the last refusal fell.
+	overloadedSince, lastRefusedAt time.Time
 }
 
 const (
-	// shareWindow is the time over which the work asked for is averaged: some ten
+	// demandWindow is the time over which the work asked for is averaged: some ten
 	// jobs of the rarest usual route.
-	shareWindow = 1500 * time.Millisecond
+	demandWindow = 1500 * time.Millisecond
 	// shareBurst is the time for which a route may save up its share: a few jobs of the
 	// rarest usual route.
 	shareBurst = 250 * time.Millisecond
-	// shareFill is the part of the targets' processors that tasks can fill.
-	shareFill = 0.9
-	// spellGap is the time without a refusal that ends a spell of overload: refusals of
+	// shareUtilization is the part of the targets' processors that tasks can fill.
+	shareUtilization = 0.9
+	// overloadGap is the time without a refusal that ends a spell of overload: refusals of
 	// the busiest route are closer in one.
-	spellGap = 500 * time.Millisecond
-	// longestSpell bounds how much longer a spell of overload is expected to last, to
+	overloadGap = 500 * time.Millisecond
+	// maxOverloadBackoff bounds how much longer a spell of overload is expected to last, to
 	// about what a client waits for an answer.
-	longestSpell = time.Second
+	maxOverloadBackoff = time.Second
 )
 
-// rate returns the work asked for at a time.
-func (s *share) rate(now time.Time) float64 {
-	return s.asked * math.Exp(-now.Sub(s.noted).Seconds()/shareWindow.Seconds())
+// demandRate returns the work asked for at a time.
+func (s *share) demandRate(now time.Time) float64 {
+	return s.demand * math.Exp(-now.Sub(s.demandUpdatedAt).Seconds()/demandWindow.Seconds())
 }
 
-// ask notes work that is asked for.
-func (s *share) ask(now time.Time, work float64) {
-	s.asked = s.rate(now) + work/shareWindow.Seconds()
-	s.noted = now
+// addDemand notes work that is asked for.
+func (s *share) addDemand(now time.Time, work float64) {
+	s.demand = s.demandRate(now) + work/demandWindow.Seconds()
+	s.demandUpdatedAt = now
 }
 
-// grant adds what the route may take up to now at a level.
-func (s *share) grant(now time.Time, level float64) {
-	s.credit = min(s.credit+level*now.Sub(s.granted).Seconds(), level*shareBurst.Seconds())
-	s.granted = now
+// refill adds what the route may take up to now at a level.
+func (s *share) refill(now time.Time, rate float64) {
+	s.workBudget = min(s.workBudget+rate*now.Sub(s.refilledAt).Seconds(), rate*shareBurst.Seconds())
+	s.refilledAt = now
 }
 
-// refuse notes a refusal and returns for how long the route will stay overloaded: for
+// recordRefusal notes a refusal and returns for how long the route will stay overloaded: for
 // as long as it has been, as nothing else is known.
-func (s *share) refuse(now time.Time) time.Duration {
-	if s.refused.IsZero() || now.Sub(s.refused) > spellGap {
-		s.overloaded = now
+func (s *share) recordRefusal(now time.Time) time.Duration {
+	if s.lastRefusedAt.IsZero() || now.Sub(s.lastRefusedAt) > overloadGap {
+		s.overloadedSince = now
 	}
-	s.refused = now
-	return min(now.Sub(s.overloaded), longestSpell)
+	s.lastRefusedAt = now
+	return min(now.Sub(s.overloadedSince), maxOverloadBackoff)
 }
 
-// work returns what a job's waiting tasks take, in thousandths of a core times
+// pendingWork returns what a job's waiting tasks take, in thousandths of a core times
 // seconds.
-func (j *job) work() float64 {
-	return float64(j.waiting*j.spec.Need.CPU) * j.expect.Seconds()
+func (j *job) pendingWork() float64 {
+	return float64(j.waitingCount*j.spec.Need.CPU) * j.expectedRunTime.Seconds()
 }
 
 // shareOf returns the share of a job's route.
 func (r *Router) shareOf(j *job) *share {
-	s := r.shares[j.spec.Route]
+	s := r.routeShares[j.spec.Route]
 	if s == nil || s.service != j.spec.Service {
-		s = &share{service: j.spec.Service, noted: r.now}
-		r.shares[j.spec.Route] = s
+		s = &share{service: j.spec.Service, demandUpdatedAt: r.now}
+		r.routeShares[j.spec.Route] = s
 	}
 	return s
 }
 
-// exceeds notes what a job asks for and reports whether its route is beyond its fair
+// exceedsFairShare notes what a job asks for and reports whether its route is beyond its fair
 // share: the routes of a service get what they ask for, up to a level at which all
 // together get what there is: so much processor, in thousandths of a core.
-func (r *Router) exceeds(j *job, total int) bool {
+func (r *Router) exceedsFairShare(j *job, total int) bool {
 	s := r.shareOf(j)
-	s.ask(r.now, j.work())
+	s.addDemand(r.now, j.pendingWork())
 	if r.Policy.Sharing == NoSharing {
 		return false
 	}
-	level := r.level(s.service, float64(total)*shareFill)
-	if math.IsInf(level, 1) {
-		s.credit, s.granted = 0, time.Time{}
+	fairRate := r.fairRate(s.service, float64(total)*shareUtilization)
+	if math.IsInf(fairRate, 1) {
+		s.workBudget, s.refilledAt = 0, time.Time{}
 		return false
 	}
-	if s.granted.IsZero() {
-		s.credit, s.granted = level*shareBurst.Seconds(), r.now
+	if s.refilledAt.IsZero() {
+		s.workBudget, s.refilledAt = fairRate*shareBurst.Seconds(), r.now
 	}
-	s.grant(r.now, level)
-	return s.credit <= 0
+	s.refill(r.now, fairRate)
+	return s.workBudget <= 0
 }
 
-// level returns the rate of work up to which each route of a service gets all that it
+// fairRate returns the rate of work up to which each route of a service gets all that it
 // asks for; it is infinite while there is enough for all.
-func (r *Router) level(service string, total float64) float64 {
+func (r *Router) fairRate(service string, total float64) float64 {
 	var rates []float64
 	sum := 0.0
-	for _, route := range sortedKeys(r.shares) {
-		if s := r.shares[route]; s.service == service {
-			rates = append(rates, s.rate(r.now))
-			sum += s.rate(r.now)
+	for _, route := range sortedKeys(r.routeShares) {
+		if s := r.routeShares[route]; s.service == service {
+			rates = append(rates, s.demandRate(r.now))
+			sum += s.demandRate(r.now)
 		}
 	}
 	if sum <= total {
@@ -119,8 +119,8 @@
 	}
 	slices.Sort(rates)
 	for i, rate := range rates {
-		if even := total / float64(len(rates)-i); rate >= even {
-			return even
+		if equalRate := total / float64(len(rates)-i); rate >= equalRate {
+			return equalRate
 		}
 		total -= rate
 	}
--- a/internal/router/slowdown.go
+++ b/internal/router/slowdown.go
@@ -6,103 +6,103 @@
 )
 
 const (
-	// slowdownAllowed is the logarithm of the factor by which runs may take longer than
+	// allowedLogSlowdown is the logarithm of the factor by which runs may take longer than
 	// expected on average at a sound target: 1.6.
-	slowdownAllowed = 0.5
-	// slownessToBar is the sum of what runs take beyond that which leaves a target out: two or
+	allowedLogSlowdown = 0.5
+	// slowdownSumToEject is the sum of what runs take beyond that which leaves a target out: two or
 	// three runs at a sixth to a quarter of the speed. Runs of a sound target, whose
 	// logarithms deviate by 0.45, reach it once in some ten thousand.
-	slownessToBar = 2
-	// mostSlowdown bounds what one run adds, so that it takes two to leave a target out.
-	mostSlowdown = 1.5
-	// slowTrial is the logarithm of the factor from which a trial has failed: 2.
-	slowTrial = 0.7
-	// tellingRun is the shortest run whose progress tells its run time: the clock of a target
+	slowdownSumToEject = 2
+	// maxLogSlowdown bounds what one run adds, so that it takes two to leave a target out.
+	maxLogSlowdown = 1.5
+	// failedTrialLogSlowdown is the logarithm of the factor from which a trial has failed: 2.
+	failedTrialLogSlowdown = 0.7
+	// minInformativeRunTime is the shortest run whose progress tells its run time: the clock of a target
 	// counts milliseconds, and its lists whole percents.
-	tellingRun = 30 * time.Millisecond
-	// farTotal is how many times as long as expected a run takes that is known to be slow
+	minInformativeRunTime = 30 * time.Millisecond
+	// stalledRunTimeFactor is how many times as long as expected a run takes that is known to be slow
 	// although its progress has hardly begun.
-	farTotal = 5
-	// slowFor is how long a slow target is left out before a trial.
-	slowFor = 1200 * time.Millisecond
-	// mostBarred is the part of a service's targets that may be left out for being slow.
+	stalledRunTimeFactor = 5
+	// slowEjectionDuration is how long a slow target is left out before a trial.
+	slowEjectionDuration = 1200 * time.Millisecond
+	// maxEjectedFraction is the part of a service's targets that may be left out for being slow.
 	// Where more are slow, it is not the targets that differ from what is expected.
-	mostBarred = 1.0 / 3
+	maxEjectedFraction = 1.0 / 3
 )
 
-// noteSlowdown takes how long a run takes in all, as soon as that shows. It is a sequential test
+// recordSlowdown takes how long a run takes in all, as soon as that shows. It is a sequential test
 // (CUSUM) of whether the target has become slow.
-func (r *Router) noteSlowdown(n *run, total time.Duration) {
-	if n.rated || n.adopted || n.expect <= 0 || total <= 0 || !r.isPredictable(n.job.spec.Route) || !r.uses(SlowTargetEjection) {
+func (r *Router) recordSlowdown(n *run, runTime time.Duration) {
+	if n.slowdownRecorded || n.adopted || n.expectedRunTime <= 0 || runTime <= 0 || !r.canPredictRunTime(n.job.spec.Route) || !r.isEnabled(SlowTargetEjection) {
 		return
 	}
-	n.rated = true
+	n.slowdownRecorded = true
 	t := n.target
-	excess := math.Log(total.Seconds() / n.expect.Seconds())
-	n.slow = excess > slowTrial
-	t.slowness = max(t.slowness+min(excess, mostSlowdown+slowdownAllowed)-slowdownAllowed, 0)
-	failed := t.trial && n.slow
-	if !failed && t.slowness < slownessToBar || r.now.Before(t.barred) || !r.mayBar(t) {
+	logSlowdown := math.Log(runTime.Seconds() / n.expectedRunTime.Seconds())
+	n.slow = logSlowdown > failedTrialLogSlowdown
+	t.slowdownSum = max(t.slowdownSum+min(logSlowdown, maxLogSlowdown+allowedLogSlowdown)-allowedLogSlowdown, 0)
+	trialFailed := t.onTrial && n.slow
+	if !trialFailed && t.slowdownSum < slowdownSumToEject || r.now.Before(t.ejectedUntil) || !r.canEject(t) {
 		return
 	}
-	t.slowness = 0
-	r.bar(t, slowFor, "slow")
+	t.slowdownSum = 0
+	r.ejectTarget(t, slowEjectionDuration, "slow")
 }
 
-// leastTotal returns the time that a run takes in all, at least, after it has run for so
+// minRunTime returns the time that a run takes in all, at least, after it has run for so
 // long.
-func (n *run) leastTotal(ran time.Duration) time.Duration {
-	return seconds(ran.Seconds() * hundred / (n.percent + 1))
+func (n *run) minRunTime(elapsed time.Duration) time.Duration {
+	return seconds(elapsed.Seconds() * fullPercent / (n.percent + 1))
 }
 
-// noteRunning takes how far a run has come, once that is telling. A run that has hardly
+// recordRunningSlowdown takes how far a run has come, once that is telling. A run that has hardly
 // begun counts where targets are known to tell any progress at all.
-func (r *Router) noteRunning(n *run, ran time.Duration) {
-	total := n.leastTotal(ran)
-	if n.percent >= telling || r.progressive && total > farTotal*n.expect {
-		r.noteSlowdown(n, total)
+func (r *Router) recordRunningSlowdown(n *run, elapsed time.Duration) {
+	runTime := n.minRunTime(elapsed)
+	if n.percent >= minProgressPercent || r.targetsReportProgress && runTime > stalledRunTimeFactor*n.expectedRunTime {
+		r.recordSlowdown(n, runTime)
 	}
 }
 
-// noteDone takes how long a run took until its end was seen here. A host that lacks
+// recordFinalSlowdown takes how long a run took until its end was seen here. A host that lacks
 // processor time sees ends late, so this speaks for a target only, not against it.
-func (r *Router) noteDone(n *run, total time.Duration) {
-	if total.Seconds() < n.expect.Seconds()*math.Exp(slowdownAllowed) {
-		r.noteSlowdown(n, total)
+func (r *Router) recordFinalSlowdown(n *run, runTime time.Duration) {
+	if runTime.Seconds() < n.expectedRunTime.Seconds()*math.Exp(allowedLogSlowdown) {
+		r.recordSlowdown(n, runTime)
 	}
 }
 
-// isPredictable reports whether run times of a route are predicted from measured ones.
-func (r *Router) isPredictable(route string) bool {
-	h := r.learned[route]
-	return h != nil && h.count >= historyTrust
+// canPredictRunTime reports whether run times of a route are predicted from measured ones.
+func (r *Router) canPredictRunTime(route string) bool {
+	h := r.routeModels[route]
+	return h != nil && h.count >= minRouteSamples
 }
 
-// mayBar reports whether few enough targets of the service are left out.
-func (r *Router) mayBar(t *target) bool {
-	all, barred := 0, 0
-	for _, other := range r.pool {
+// canEject reports whether few enough targets of the service are left out.
+func (r *Router) canEject(t *target) bool {
+	all, ejected := 0, 0
+	for _, other := range r.sortedTargets {
 		if other.Service == t.Service && other.listed {
 			all++
-			barred += one(r.now.Before(other.barred))
+			ejected += boolToInt(r.now.Before(other.ejectedUntil))
 		}
 	}
-	return float64(barred+1) <= mostBarred*float64(all)
+	return float64(ejected+1) <= maxEjectedFraction*float64(all)
 }
 
-// isStuck reports whether a run is slow at a slow target, or stands still after the time
+// isSlowOrStalled reports whether a run is slow at a slow target, or stands still after the time
 // that it should have taken in all.
-func (r *Router) isStuck(n *run, ran time.Duration) bool {
-	if n.slow && r.now.Before(n.target.barred) {
+func (r *Router) isSlowOrStalled(n *run, elapsed time.Duration) bool {
+	if n.slow && r.now.Before(n.target.ejectedUntil) {
 		return true
 	}
-	return r.progressive && n.percent < telling && ran > n.expect+r.Bounds.StopDuration
+	return r.targetsReportProgress && n.percent < minProgressPercent && elapsed > n.expectedRunTime+r.Bounds.StopDuration
 }
 
-// isSoonerElsewhere reports whether a run would end much sooner if it were stopped and its
+// shouldRestartElsewhere reports whether a run would end much sooner if it were stopped and its
 // task started anew at a sound target, and in time there.
-func (r *Router) isSoonerElsewhere(n *run, ran time.Duration) bool {
-	const clearly = 2 // work is thrown away, and there may be no room
-	elsewhere := r.Bounds.StopDuration + n.job.expect
-	return n.leastTotal(ran)-ran > clearly*elsewhere && !r.now.Add(elsewhere).After(n.job.deadline)
+func (r *Router) shouldRestartElsewhere(n *run, elapsed time.Duration) bool {
+	const minGainFactor = 2 // work is thrown away, and there may be no room
+	timeElsewhere := r.Bounds.StopDuration + n.job.expectedRunTime
+	return n.minRunTime(elapsed)-elapsed > minGainFactor*timeElsewhere && !r.now.Add(timeElsewhere).After(n.job.deadline)
 }
--- a/internal/router/stage.go
+++ b/internal/router/stage.go
@@ -25,19 +25,19 @@
 
 func (StageDuration) effect() {}
 
-// measure emits how long a stage took that began at a moment.
-func (r *Router) measure(j *job, stage Stage, from time.Time) {
-	r.emit(StageDuration{Route: j.spec.Route, Stage: stage, Duration: r.now.Sub(from)})
+// emitStageDuration emits how long a stage took that began at a moment.
+func (r *Router) emitStageDuration(j *job, stage Stage, startedAt time.Time) {
+	r.emit(StageDuration{Route: j.spec.Route, Stage: stage, Duration: r.now.Sub(startedAt)})
 }
 
-// margin returns the least time until the lease of a held target with runs lapses, or
+// leaseMargin returns the least time until the lease of a held target with runs lapses, or
 // the length of a lease when none runs anything.
-func (r *Router) margin() time.Duration {
-	least := r.Bounds.LeaseDuration
+func (r *Router) leaseMargin() time.Duration {
+	margin := r.Bounds.LeaseDuration
 	for _, t := range r.targets {
 		if len(t.runs) > 0 {
-			least = min(least, t.lapses.Sub(r.now))
+			margin = min(margin, t.runsExpireAt.Sub(r.now))
 		}
 	}
-	return least
+	return margin
 }
--- a/internal/router/standby.go
+++ b/internal/router/standby.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// warmEvery is how often a connection to a target is used that a successor keeps open:
+	// standbyUseInterval is how often a connection to a target is used that a successor keeps open:
 	// sooner than idle connections are closed.
-	warmEvery = 15 * time.Second
-	// warmPause spaces the opening of connections, each of which takes several times as
+	standbyUseInterval = 15 * time.Second
+	// standbyOpenInterval spaces the opening of connections, each of which takes several times as
 	// much processor time as an order.
-	warmPause = 40 * time.Millisecond
-	// warmConnections is how many connections to a target are kept open: one for a renewal
+	standbyOpenInterval = 40 * time.Millisecond
+	// standbyConnectionCount is how many connections to a target are kept open: one for a renewal
 	// that waits, and one for a start beside it.
-	warmConnections = 2
-	// warmTimeout bounds the opening of a connection and an answer: nothing waits for them.
-	warmTimeout = time.Second
+	standbyConnectionCount = 2
+	// standbyTimeout bounds the opening of a connection and an answer: nothing waits for them.
+	standbyTimeout = time.Second
 )
 
-// standBy keeps connections open to the targets of a cell that this host would hold next.
+// maintainStandbyConnections keeps connections open to the targets of a cell that this host would hold next.
 // A takeover sends orders to all targets at once; opening the connections then would take
 // a small processor longer than the takeover itself.
-func (r *Router) standBy() {
-	if r.now.Sub(r.warmed) < warmPause || !r.isSuccessor() || !r.uses(StandbyConnections) {
+func (r *Router) maintainStandbyConnections() {
+	if r.now.Sub(r.lastStandbyUseAt) < standbyOpenInterval || !r.isSuccessor() || !r.isEnabled(StandbyConnections) {
 		return
 	}
 	for _, entry := range r.directory.Targets {
-		if c := r.cells[entry.Zone]; c == nil || c.mine || !r.related(entry.Zone) || entry.Draining {
+		if c := r.cells[entry.Zone]; c == nil || c.heldHere || !r.sharesCells(entry.Zone) || entry.Draining {
 			continue
 		}
-		if last, known := r.warm[entry.ID]; known && r.now.Sub(last) < warmEvery {
+		if lastUsedAt, known := r.standbyUsedAt[entry.ID]; known && r.now.Sub(lastUsedAt) < standbyUseInterval {
 			continue
 		}
-		r.warm[entry.ID], r.warmed = r.now, r.now
-		r.emit(WarmUp{Target: entry, Connections: warmConnections, Timeout: warmTimeout})
+		r.standbyUsedAt[entry.ID], r.lastStandbyUseAt = r.now, r.now
+		r.emit(WarmUp{Target: entry, Connections: standbyConnectionCount, Timeout: standbyTimeout})
 		return
 	}
 }
@@ -40,18 +40,18 @@
 // the cell lacks a holder there are more candidates, and connections are left as they are.
 func (r *Router) isSuccessor() bool {
 	c := r.cells[r.Self.Zone]
-	return c != nil && !c.mine && c.claim.Token > 0 && c.absent.IsZero() && r.hub[r.Self.Address]
+	return c != nil && !c.heldHere && c.claim.Token > 0 && c.holderlessSince.IsZero() && r.hubs[r.Self.Address]
 }
 
-// forgetWarm drops targets that are listed no more.
-func (r *Router) forgetWarm() {
+// dropUnlistedStandby drops targets that are listed no more.
+func (r *Router) dropUnlistedStandby() {
 	listed := make(map[string]bool, len(r.directory.Targets))
 	for _, entry := range r.directory.Targets {
 		listed[entry.ID] = true
 	}
-	for id := range r.warm {
+	for id := range r.standbyUsedAt {
 		if !listed[id] {
-			delete(r.warm, id)
+			delete(r.standbyUsedAt, id)
 			r.emit(CloseIdle{ID: id, Gone: r.targets[id] == nil})
 		}
 	}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -89,36 +89,36 @@
 func (Inspect) event() {}
 func (State) effect()  {}
 
-// inspect answers with what this host believes.
-func (r *Router) inspect(e Inspect) {
-	v := r.View()
-	s := State{
-		Request: e.Request, Host: r.Self.Name, Zone: r.Self.Zone, Slot: r.Self.Slot, Leaving: !r.leaving.IsZero(),
-		Directory: r.directory.Version, TargetCount: len(r.directory.Targets), DirectoryAge: r.ageOf(r.located),
-		Open: v.Open, Waiting: v.Waiting, Running: v.Running,
+// handleInspect answers with what this host believes.
+func (r *Router) handleInspect(e Inspect) {
+	view := r.View()
+	state := State{
+		Request: e.Request, Host: r.Self.Name, Zone: r.Self.Zone, Slot: r.Self.Slot, Leaving: !r.leavingSince.IsZero(),
+		Directory: r.directory.Version, TargetCount: len(r.directory.Targets), DirectoryAge: r.ageOf(r.directoryReadAt),
+		Open: view.Open, Waiting: view.Waiting, Running: view.Running,
 	}
 	if r.config != nil {
-		s.Config = r.config.Version
+		state.Config = r.config.Version
 	}
 	for _, p := range r.sortedPeers() {
-		s.Peers = append(s.Peers, PeerState{Host: p.member.Name, Zone: p.member.Zone, Reachable: r.reaches(p), Leaving: p.leaving, Age: r.ageOf(p.echoed)})
+		state.Peers = append(state.Peers, PeerState{Host: p.member.Name, Zone: p.member.Zone, Reachable: r.isReachable(p), Leaving: p.leaving, Age: r.ageOf(p.lastEchoedAt)})
 	}
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
-		state := CellState{Zone: zone, Holder: c.claim.Holder.Name, Token: c.claim.Token, Reachable: r.holderOf(zone) != nil}
-		if !c.absent.IsZero() {
-			state.Absent = r.now.Sub(c.absent)
+		cellState := CellState{Zone: zone, Holder: c.claim.Holder.Name, Token: c.claim.Token, Reachable: r.reachableHolder(zone) != nil}
+		if !c.holderlessSince.IsZero() {
+			cellState.Absent = r.now.Sub(c.holderlessSince)
 		}
-		s.Cells = append(s.Cells, state)
+		state.Cells = append(state.Cells, cellState)
 	}
 	for _, id := range sortedKeys(r.targets) {
 		t := r.targets[id]
-		s.Targets = append(s.Targets, TargetState{
-			ID: id, Zone: t.Zone, Service: t.Service, State: r.fitness(t), Used: t.used, Capacity: t.Capacity, Runs: len(t.runs),
-			Age: r.ageOf(t.fresh), EjectedFor: max(t.barred.Sub(r.now), 0),
+		state.Targets = append(state.Targets, TargetState{
+			ID: id, Zone: t.Zone, Service: t.Service, State: r.targetStatus(t), Used: t.used, Capacity: t.Capacity, Runs: len(t.runs),
+			Age: r.ageOf(t.lastConfirmedAt), EjectedFor: max(t.ejectedUntil.Sub(r.now), 0),
 		})
 	}
-	r.emit(s)
+	r.emit(state)
 }
 
 // ageOf returns the time since a moment, or -1 for none.
@@ -129,8 +129,8 @@
 	return r.now.Sub(at)
 }
 
-// fitness tells whether a target is given tasks, and the first reason why not.
-func (r *Router) fitness(t *target) TargetStatus {
+// targetStatus tells whether a target is given tasks, and the first reason why not.
+func (r *Router) targetStatus(t *target) TargetStatus {
 	switch {
 	case t.Draining:
 		return Draining
@@ -138,11 +138,11 @@
 		return Unlisted
 	case !t.fenced:
 		return Unfenced
-	case r.quiet(t):
+	case r.isUnresponsive(t):
 		return Unresponsive
-	case r.now.Before(t.barred):
+	case r.now.Before(t.ejectedUntil):
 		return Ejected
-	case t.trial:
+	case t.onTrial:
 		return OnTrial
 	}
 	return Usable
--- a/internal/router/state_test.go
+++ b/internal/router/state_test.go
@@ -8,19 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestInspect: a holder tells what it believes, and why it uses a target or does not.
-func TestInspect(t *testing.T) {
+// TestInspectReportsTargetStatuses: a holder tells what it believes, and why it uses a target or does not.
+func TestInspectReportsTargetStatuses(t *testing.T) {
 	b := newHolderBed(t, 8, ClaimWon)
-	b.begin("j", Running)
-	list := b.router.sightings([]string{b.router.Self.Zone})
+	b.startTask("j", Running)
+	list := b.router.knownTargets([]string{b.router.Self.Zone})
 	target := func(i int) *target { return b.router.targets[list[i].ID] }
 	target(1).Draining = true
 	target(2).listed = false
 	target(3).fenced = false
-	target(4).misses = 1
-	target(5).barred = b.now.Add(time.Second)
-	target(6).trial = true
-	states := only[State](b.step(Inspect{Request: 7}))
+	target(4).missedRenewals = 1
+	target(5).ejectedUntil = b.now.Add(time.Second)
+	target(6).onTrial = true
+	states := effectsOf[State](b.step(Inspect{Request: 7}))
 	require.Len(t, states, 1)
 	s := states[0]
 	assert.EqualValues(t, 7, s.Request)
@@ -30,34 +30,34 @@
 	require.Len(t, s.Cells, 1)
 	assert.True(t, s.Cells[0].Reachable)
 	assert.Equal(t, "a", s.Cells[0].Holder)
-	got := make(map[TargetStatus]int)
+	statusCounts := make(map[TargetStatus]int)
 	runs := 0
-	for _, x := range s.Targets {
-		got[x.State]++
-		runs += x.Runs
+	for _, target := range s.Targets {
+		statusCounts[target.State]++
+		runs += target.Runs
 	}
-	assert.Equal(t, map[TargetStatus]int{Usable: 2, Draining: 1, Unlisted: 1, Unfenced: 1, Unresponsive: 1, Ejected: 1, OnTrial: 1}, got)
+	assert.Equal(t, map[TargetStatus]int{Usable: 2, Draining: 1, Unlisted: 1, Unfenced: 1, Unresponsive: 1, Ejected: 1, OnTrial: 1}, statusCounts)
 	assert.Equal(t, 1, runs)
 }
 
-// TestInspectFresh: a host that has only started knows nothing yet.
-func TestInspectFresh(t *testing.T) {
+// TestInspectOfNewHostReportsNothingKnown: a host that has only started knows nothing yet.
+func TestInspectOfNewHostReportsNothingKnown(t *testing.T) {
 	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
-	states := only[State](r.Step(time.Unix(origin, 0), Inspect{Request: 1}))
+	states := effectsOf[State](r.Step(time.Unix(testEpoch, 0), Inspect{Request: 1}))
 	require.Len(t, states, 1)
 	assert.EqualValues(t, -1, states[0].DirectoryAge)
 	assert.Zero(t, states[0].Slot)
 	assert.False(t, states[0].Cells[0].Reachable)
 }
 
-// TestStages: each stage of a job's way is measured once, and the margin of the lease
+// TestEachStageIsMeasuredOnce: each stage of a job's way is measured once, and the margin of the lease
 // that it runs under is told.
-func TestStages(t *testing.T) {
+func TestEachStageIsMeasuredOnce(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
-	j := pair("j")
+	j := twoTaskJob("j")
 	j.Count = 1
 	effects := b.step(Submit{Request: 1, Job: j, Budget: 5 * time.Second})
-	starts := only[Start](effects)
+	starts := effectsOf[Start](effects)
 	require.Len(t, starts, 1)
 	b.now = b.now.Add(5 * time.Millisecond)
 	effects = append(effects, b.step(StartAnswered{Target: starts[0].Target.ID, Task: starts[0].Task, Run: starts[0].Run, Result: Running})...)
@@ -65,11 +65,11 @@
 	b.now = b.now.Add(95 * time.Millisecond)
 	end := End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, Reason: EndDone}
 	effects = append(effects, b.step(RenewAnswered{Target: starts[0].Target.ID, Token: starts[0].Token, SentAt: b.now, Result: Running, Clock: Reading{Millis: 900_000, At: b.now}, Ended: []End{end}})...)
-	got := make(map[Stage]time.Duration)
-	for _, m := range only[StageDuration](effects) {
+	durations := make(map[Stage]time.Duration)
+	for _, m := range effectsOf[StageDuration](effects) {
 		assert.Equal(t, "r", m.Route)
-		assert.NotContains(t, got, m.Stage)
-		got[m.Stage] = m.Duration
+		assert.NotContains(t, durations, m.Stage)
+		durations[m.Stage] = m.Duration
 	}
-	assert.Equal(t, map[Stage]time.Duration{Accepted: 0, Queued: 0, Started: 5 * time.Millisecond, Ended: 100 * time.Millisecond}, got)
+	assert.Equal(t, map[Stage]time.Duration{Accepted: 0, Queued: 0, Started: 5 * time.Millisecond, Ended: 100 * time.Millisecond}, durations)
 }
--- a/internal/router/timeouts.go
+++ b/internal/router/timeouts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timeouts is what was learned of the timeouts of a route's clients: their mean and
+// timeoutStats is what was learned of the timeouts of a route's clients: their mean and
 // variance, in seconds.
-type timeouts struct {
+type timeoutStats struct {
 	count          int
 	mean, variance float64
 }
@@ -15,21 +15,21 @@
 const (
 	// timeoutWindow is the number of jobs over which timeouts are forgotten.
 	timeoutWindow = 400
-	// timeoutTrust is the number of jobs after which a timeout can be told to be unusual.
-	timeoutTrust = 50
-	// unusual is how many standard deviations below the mean a timeout is that the client
+	// minTimeoutSamples is the number of jobs after which a timeout can be told to be unusual.
+	minTimeoutSamples = 50
+	// shortTimeoutDeviations is how many standard deviations below the mean a timeout is that the client
 	// must have used in part: one in forty is by chance.
-	unusual = 2
-	// retrySpan is how long after the loss of a host clients may try again: the time after
+	shortTimeoutDeviations = 2
+	// retryPeriod is how long after the loss of a host clients may try again: the time after
 	// which it is noticed, that after which they do so, and a second try.
-	retrySpan = 4 * time.Second
-	// leastWait bounds what counts as time used: less does not come from an earlier try.
-	leastWait = 500 * time.Millisecond
+	retryPeriod = 4 * time.Second
+	// minUsedTime bounds what counts as time used: less does not come from an earlier try.
+	minUsedTime = 500 * time.Millisecond
 )
 
-// take adds a timeout. Those far below the mean count as one standard deviation below it,
+// addSample adds a timeout. Those far below the mean count as one standard deviation below it,
 // so that a surge of retries changes little, and a lasting change is learned all the same.
-func (t *timeouts) take(timeout time.Duration) {
+func (t *timeoutStats) addSample(timeout time.Duration) {
 	t.count++
 	w := 1 / float64(min(t.count, timeoutWindow))
 	x := timeout.Seconds()
@@ -42,25 +42,25 @@
 }
 
 // isShort reports whether a timeout lacks more than differences between clients explain.
-func (t *timeouts) isShort(timeout time.Duration) bool {
-	if t.count < timeoutTrust {
+func (t *timeoutStats) isShort(timeout time.Duration) bool {
+	if t.count < minTimeoutSamples {
 		return false
 	}
-	lack := t.mean - timeout.Seconds()
-	return lack > unusual*math.Sqrt(t.variance) && lack > leastWait.Seconds()
+	shortfall := t.mean - timeout.Seconds()
+	return shortfall > shortTimeoutDeviations*math.Sqrt(t.variance) && shortfall > minUsedTime.Seconds()
 }
 
-// hasWaited takes the timeout of a new job and reports whether its client has waited
+// isLikelyRetry takes the timeout of a new job and reports whether its client has waited
 // before: a client that tries again gives what is left of its time. When hosts were lost at
 // once, such jobs come together with new ones, and nothing else tells them apart. At other
 // times a short timeout only tells that a client is in a hurry.
-func (r *Router) hasWaited(j *job) bool {
+func (r *Router) isLikelyRetry(j *job) bool {
 	if r.Policy.RetryOrder == RetriesAsNew {
 		return false
 	}
-	t := &r.historyOf(j.spec.Route).timeouts
-	timeout := j.deadline.Sub(j.arrived)
+	t := &r.routeModelOf(j.spec.Route).timeouts
+	timeout := j.deadline.Sub(j.arrivedAt)
 	short := t.isShort(timeout)
-	t.take(timeout)
-	return short && r.now.Sub(later(r.started, r.lossSeen)) < retrySpan
+	t.addSample(timeout)
+	return short && r.now.Sub(later(r.startedAt, r.lastHostLossAt)) < retryPeriod
 }
