--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// taskCountFactor bounds the extra time of the longest of many tasks: at a spread of
-	// 15 % within a job, the longest of 8 takes 1.2 times the mean.
+	// taskCountFactor scales the extra run time of the slowest of many tasks: when run times
+	// within a job vary by 15 %, the slowest of 8 tasks takes 1.2 times the mean.
 	taskCountFactor = 0.1
-	// networkOverhead is the time of the messages around a job's work: two hops between
-	// zones, an order and an answer.
+	// networkOverhead is the time of the messages around a job's work: two hops between zones,
+	// an order to a target and its answer.
 	networkOverhead = 12 * time.Millisecond
-	// lateFactor is how many times the objective an answer may take and still
-	// be of some use to the client.
+	// lateFactor is the multiple of the latency objective up to which an answer is still of use
+	// to the client.
 	lateFactor = 3
-	// queuePackingRatio is the part of the targets' processors that a job can count on
-	// for the work before it: jobs that come later and must start sooner take
-	// their part as well.
+	// queuePackingRatio is the part of the targets' CPU that a job can count on for the work
+	// queued ahead of it. Jobs that arrive later but must start sooner take a part as well.
 	queuePackingRatio = 0.4
-	// ownPackingRatio is the part that tasks of like size can fill.
+	// ownPackingRatio is the part of the targets' CPU that tasks of similar size can fill.
 	ownPackingRatio = 0.8
-	// minRetryAfter and maxRetry bound when a refused client may come back.
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused client may retry.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
 
-// planStart sets when a job's tasks must start.
+// planStart sets a job's expected run time, its due time and the latest start of its tasks.
 func (r *Router) planStart(j *job) {
 	j.taskRunTime = r.predictRunTime(&j.spec)
-	wide := 1 + taskCountFactor*math.Log(float64(max(j.spec.Count, 1)))
-	j.expectedRunTime = seconds(j.taskRunTime.Seconds()*wide) + networkOverhead
+	taskCountScale := 1 + taskCountFactor*math.Log(float64(max(j.spec.Count, 1)))
+	j.expectedRunTime = seconds(j.taskRunTime.Seconds()*taskCountScale) + networkOverhead
 	stretch := max(j.spec.Stretch, 1)
-	goal := j.arrivedAt.Add(seconds(j.expectedRunTime.Seconds()*stretch) + j.spec.Allowance)
-	if goal.After(j.deadline) {
-		goal = j.deadline
+	dueAt := j.arrivedAt.Add(seconds(j.expectedRunTime.Seconds()*stretch) + j.spec.Allowance)
+	if dueAt.After(j.deadline) {
+		dueAt = j.deadline
 	}
-	j.dueAt, j.latestStart = goal, goal.Add(-j.expectedRunTime)
+	j.dueAt, j.latestStart = dueAt, dueAt.Add(-j.expectedRunTime)
 }
 
-// lastUsefulStart returns the last moment at which starting the job is of any use.
+// lastUsefulStart returns the latest start after which the answer is of no more use to the
+// client.
 func (j *job) lastUsefulStart() time.Time {
 	end := j.arrivedAt.Add(lateFactor * j.dueAt.Sub(j.arrivedAt))
 	if end.After(j.deadline) {
@@ -48,8 +48,11 @@
 	return end.Add(-j.expectedRunTime)
 }
 
-// admit decides whether a job is taken. It is refused at once when it fits no
-// target, or cannot be in time behind the work that goes first.
+// admit decides whether a job is accepted. It returns true with the verdict if the job is
+// refused: because its tasks fit no target, or because it cannot finish in time behind the jobs
+// that are placed before it. A job that may have started or was offered to another holder
+// before is not refused for its wait. For the other jobs, admit also records the demand of the
+// route and charges an accepted job to the route's budget.
 func (r *Router) admit(j *job) (Verdict, bool) {
 	v := Verdict{ID: j.spec.ID, Outcome: Refused}
 	if !r.fitsAnyTarget(&j.spec) {
@@ -78,8 +81,9 @@
 	return v, false
 }
 
-// waitWeight returns how a job's wait is weighed: one with much work for its route is
-// refused earlier, since the same work completes several smaller ones.
+// waitWeight returns the factor on a job's estimated wait, and adds the job to its route's mean
+// work. A job with more work than the mean of its route is refused earlier, because the same
+// work completes several smaller jobs.
 func (r *Router) waitWeight(j *job) float64 {
 	work := float64(j.spec.Count) * j.taskRunTime.Seconds() * float64(j.spec.Need.CPU)
 	mean := r.meanWorkByRoute[j.spec.Route]
@@ -94,17 +98,17 @@
 }
 
 const (
-	// workWindow is the number of jobs over which a route's mean work forgets.
+	// workWindow is the number of jobs over which a route's mean work is averaged.
 	workWindow = 100
-	// baseWaitWeight is the part of the weight that does not depend on the work.
+	// baseWaitWeight is the part of the weight that does not depend on the job's work.
 	baseWaitWeight = 0.4
-	// maxWaitWeight bounds the weight, so that large jobs are served at least half
-	// as often as others.
+	// maxWaitWeight bounds the weight, so that large jobs are served at least half as often as
+	// others.
 	maxWaitWeight = 1.7
 )
 
-// fitsAnyTarget reports whether a task of the job fits a known target of its service,
-// were it idle. While no target is known, it might.
+// fitsAnyTarget reports whether a task of the job fits any known target of its service,
+// assuming that the target is idle. It returns true while no target of the service is known.
 func (r *Router) fitsAnyTarget(spec *Job) bool {
 	known := false
 	for _, t := range r.directory.Targets {
@@ -119,8 +123,9 @@
 	return !known
 }
 
-// estimateWait returns how long a job's last task would wait behind the queue, with room
-// for so many tasks of it now and so much processor in total.
+// estimateWait returns how long the last task of a job is expected to wait for the jobs that
+// are placed before it. free is the number of the job's tasks that could start now, total the
+// CPU of the targets in thousandths of a core.
 func (r *Router) estimateWait(j *job, free, total int) time.Duration {
 	work := j.pendingWork() * queuePackingRatio / ownPackingRatio
 	ahead := 0
@@ -139,8 +144,8 @@
 	return seconds(work / (float64(total) * queuePackingRatio))
 }
 
-// capacity returns how many tasks of the job could start now, and the processors
-// of all targets that could run it, in thousandths of a core.
+// capacity returns how many tasks of the job could start now (free), and the CPU of all targets
+// that could run them (total), in thousandths of a core of a target of average speed.
 func (r *Router) capacity(spec *Job) (free, total int) {
 	for _, t := range r.sortedTargets {
 		if t.Service != spec.Service || !r.isSoonUsable(t) {
@@ -158,20 +163,22 @@
 	return free, total
 }
 
-// isSoonUsable reports whether a target may be given tasks now or within a moment: after
-// a change of the holder, targets are asked first what they run.
+// isSoonUsable reports whether a target can be given tasks now or in a moment. A new holder
+// first asks its targets what they run, so targets that are not fenced yet count while the cell
+// has been held for less than the peer timeout.
 func (r *Router) isSoonUsable(t *target) bool {
-	young := r.now.Sub(r.cells[t.Zone].acquiredAt) < r.Bounds.PeerTimeout
-	return t.listed && !t.Draining && (t.fenced || young) && (t.missedRenewals == 0 || young) && (!r.now.Before(t.ejectedUntil) || !t.onTrial)
+	recentlyAcquired := r.now.Sub(r.cells[t.Zone].acquiredAt) < r.Bounds.PeerTimeout
+	return t.listed && !t.Draining && (t.fenced || recentlyAcquired) && (t.missedRenewals == 0 || recentlyAcquired) && (!r.now.Before(t.ejectedUntil) || !t.onTrial)
 }
 
-// recheckQueuedJob gives up a queued job that has become hopeless.
+// recheckQueuedJob aborts a queued job whose answer would be of no more use. It also aborts a
+// late job that has not started while jobs that can still be in time wait for the same service.
 func (r *Router) recheckQueuedJob(j *job) {
 	last := j.lastUsefulStart()
 	switch {
 	case j.reoffered && !r.isQuarantineOver(j):
-		// Its other tasks may still be found running for a moment; after that
-		// they cannot start before the quarantine is over.
+		// Its other tasks may still be found running during the grace period for orphans. After
+		// that, they cannot start before the quarantine is over.
 		if r.now.Sub(j.offeredAt) > r.Bounds.OrphanGrace && j.quarantinedUntil.After(last) {
 			r.abortJob(j, Expired)
 		}
@@ -182,8 +189,7 @@
 	}
 }
 
-// isContended reports whether jobs that can still be in time wait for the targets
-// of this one.
+// isContended reports whether jobs that can still be in time wait for the same service.
 func (r *Router) isContended(j *job) bool {
 	for _, other := range r.queue.Items() {
 		if other != j && other.spec.Service == j.spec.Service && !r.isLate(other) {
@@ -193,7 +199,7 @@
 	return false
 }
 
-// abortJob ends a job: as refused while no task has started, as failed otherwise.
+// abortJob ends a job: as refused if no task can have started, otherwise as failed.
 func (r *Router) abortJob(j *job, reason Reason) {
 	v := Verdict{Outcome: Refused, Reason: reason, RetryAfter: minRetryAfter}
 	if j.mayHaveStarted {
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -9,44 +9,44 @@
 	"github.com/shallotrouter/shallotrouter/internal/transitioner"
 )
 
-// job is a job that this host holds.
+// job is a job that this host holds, as the holder of its zone.
 type job struct {
 	holder.Index // place in the queue
 
 	spec         Job
-	origin       string // address of the host whose client waits
-	submissionID int64  // of the submission
+	origin       string // address of the host that received the job from its client
+	submissionID int64  // identifies the submission; see Offer.SubmissionID
 	tasks        []task
-	waitingCount int // tasks to be started
+	waitingCount int // tasks in state taskWaiting
 	doneCount    int
-	// mayHaveStarted tells that a task may have started.
+	// mayHaveStarted is set once a task may have started.
 	mayHaveStarted bool
-	// mayHaveStartedEarlier tells that a task may have started for an earlier submission.
+	// mayHaveStartedEarlier is set if a task may have started for an earlier submission.
 	mayHaveStartedEarlier bool
-	// ended tells that the verdict is out; verdict is what it was.
+	// ended is set once the verdict is given.
 	ended   bool
 	verdict Verdict
-	endedAt time.Time // when the verdict was given
+	endedAt time.Time // time of the verdict
 
-	arrivedAt    time.Time // at its own host
-	offeredAt    time.Time // here
-	firstStartAt time.Time // the first start from here
+	arrivedAt    time.Time // at the host of its client
+	offeredAt    time.Time // at this host
+	firstStartAt time.Time // first start that this host ordered
 	deadline     time.Time
-	// taskRunTime is the expected run time of one task at a target of usual speed.
+	// taskRunTime is the expected run time of one task at a target of average speed.
 	taskRunTime time.Duration
-	// expectedRunTime is the expected run time of the whole job, and latest the last
-	// moment to start its tasks for an answer within the objective.
+	// expectedRunTime is the expected run time of the whole job, and latestStart the latest
+	// time to start its tasks for an answer within the latency objective.
 	expectedRunTime time.Duration
 	latestStart     time.Time
-	dueAt           time.Time // when the answer is due
-	// reoffered tells that another holder had the job; cleared is when its tasks
-	// may start anew even if not all targets obey this host.
+	dueAt           time.Time // end of the latency objective
+	// reoffered is set if another holder had the job before. Its tasks may start again at
+	// quarantinedUntil even if not all targets have accepted this host's token by then.
 	reoffered        bool
 	quarantinedUntil time.Time
 	previousZones    []string
-	// likelyRetry tells that the job's client had waited before.
+	// likelyRetry is set if the client has probably waited for an answer in an earlier try.
 	likelyRetry bool
-	// exceedsShare tells that the job's route was beyond its fair share.
+	// exceedsShare is set if the job's route exceeded its fair share when the job arrived.
 	exceedsShare bool
 }
 
@@ -54,12 +54,13 @@
 type task struct {
 	state    taskState
 	run      *run
-	lastRun  int // highest run number that was used
+	lastRun  int // highest run number used so far
 	failures int
-	// avoidedTargets are targets where the task has failed.
+	// avoidedTargets are targets where the task has failed, or that were too slow for it.
 	avoidedTargets []string
-	// notBefore and former keep the task waiting while an earlier run may go
-	// on: one at a target of another holder, one of the same job sent before.
+	// notBefore and previousRun keep the task waiting while a run that was started before may
+	// continue: until notBefore for a run at a target that has another holder by now, and until
+	// previousRun ends for a run of an earlier submission of the job.
 	notBefore   time.Time
 	previousRun *run
 }
@@ -80,14 +81,15 @@
 	taskFinish  taskEvent = "finish"
 )
 
-// taskMachine is the life cycle of a task. A task that is done stays so.
+// taskMachine is the life cycle of a task. A finished task stays finished.
 var taskMachine = transitioner.Compile(taskWaiting,
 	transitioner.Rule[taskState, taskEvent]{Event: taskStart, Source: []taskState{taskWaiting}, Target: taskActive},
 	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Source: []taskState{taskActive}, Target: taskWaiting},
 	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Source: []taskState{taskActive, taskWaiting, taskDone}, Target: taskDone},
 )
 
-// transitionTask changes a task's state and asserts that the change is allowed.
+// transitionTask applies an event to a task's state and keeps the queue up to date. It reports
+// a violation and returns false if the state does not allow the event.
 func (r *Router) transitionTask(j *job, index int, event taskEvent) bool {
 	k := &j.tasks[index]
 	next, ok := taskMachine.Next(k.state, event)
@@ -108,25 +110,26 @@
 	return true
 }
 
-// handleOffer takes a job from the host of its client; nil is this host.
+// handleOffer handles a job that the host of its client offers. A nil peer stands for this
+// host.
 func (r *Router) handleOffer(p *peer, o *Offer) {
 	origin := r.Self
 	if p != nil {
 		origin = p.member
 	}
 	c := r.cells[origin.Zone]
-	stale := p != nil && !r.isReachable(p) // it may have been on its way through a cut
+	stale := p != nil && !r.isReachable(p) // the offer may have been in transit since the connection was cut
 	if c == nil || !c.heldHere || stale {
 		r.sendVerdict(origin.Address, Verdict{ID: o.Job.ID, Outcome: WrongHolder, SubmissionID: o.SubmissionID})
 		return
 	}
-	earlier := r.jobs[o.Job.ID]
-	if earlier != nil && (!earlier.canRunAgain() || earlier.isLateCopy(origin.Address, o)) {
-		r.handleRepeatedOffer(earlier, origin.Address, o)
+	previous := r.jobs[o.Job.ID]
+	if previous != nil && (!previous.canRunAgain() || previous.isLateCopy(origin.Address, o)) {
+		r.handleRepeatedOffer(previous, origin.Address, o)
 		return
 	}
 	j := r.newJob(origin.Address, o)
-	j.inheritRuns(earlier)
+	j.inheritRuns(previous)
 	j.likelyRetry = r.isLikelyRetry(j)
 	if v, refused := r.admit(j); refused {
 		v.Outcome = j.reportableOutcome(v.Outcome)
@@ -145,8 +148,8 @@
 	r.placementNeeded = true
 }
 
-// rejectJob refuses a job. It is remembered, since a copy of its offer may still be on
-// its way over a link that was replaced.
+// rejectJob refuses a job. The job is remembered, because a copy of its offer may still arrive
+// over a connection that was replaced.
 func (r *Router) rejectJob(j *job, v Verdict) {
 	v.SubmissionID = j.submissionID
 	j.ended, j.verdict, j.endedAt = true, v, r.now
@@ -155,14 +158,14 @@
 	r.sendVerdict(j.origin, v)
 }
 
-// isLateCopy reports whether an offer is a late copy of one that the job's host has had
-// the final verdict on.
+// isLateCopy reports whether an offer is a late copy of an offer whose final verdict was
+// already sent to the job's host.
 func (j *job) isLateCopy(origin string, o *Offer) bool {
 	return j.ended && j.verdict.Outcome != WrongHolder && j.origin == origin && j.submissionID == o.SubmissionID && o.SubmissionID != 0
 }
 
-// canRunAgain reports whether a job has ended so that its client may have it run
-// once more.
+// canRunAgain reports whether a job has ended in such a way that its client may submit it
+// again.
 func (j *job) canRunAgain() bool {
 	switch j.verdict.Outcome {
 	case Unknown, Refused, WrongHolder:
@@ -171,7 +174,8 @@
 	return j.ended && j.verdict.Reason == Withdrawn
 }
 
-// inheritRuns makes a job wait for what still runs of its earlier submission.
+// inheritRuns makes the tasks of a job wait for runs of its earlier submission that may
+// continue, and use higher run numbers than those.
 func (j *job) inheritRuns(earlier *job) {
 	if earlier == nil {
 		return
@@ -186,13 +190,13 @@
 	}
 }
 
-// isLive reports whether a run may still go on. It is false for nil.
+// isLive reports whether a run may still be under way. It is false for nil.
 func (n *run) isLive() bool {
 	return n != nil && n.target.runs[taskName(n.job.spec.ID, n.task)] == n
 }
 
-// handleRepeatedOffer takes a job that is known here: its client has sent it again through
-// another host, or the host has offered it under another claim.
+// handleRepeatedOffer handles an offer of a job that is already known here: its client has
+// submitted it again through another host, or its host offers it again under another claim.
 func (r *Router) handleRepeatedOffer(j *job, origin string, o *Offer) {
 	j.origin, j.submissionID = origin, o.SubmissionID
 	j.deadline = later(j.deadline, r.now.Add(o.TimeLeft))
@@ -203,7 +207,7 @@
 	}
 }
 
-// newJob makes a job of an offer.
+// newJob creates a job from an offer.
 func (r *Router) newJob(origin string, o *Offer) *job {
 	j := &job{
 		spec: o.Job, origin: origin, submissionID: o.SubmissionID, tasks: make([]task, o.Job.Count), waitingCount: o.Job.Count,
@@ -228,7 +232,8 @@
 	return j
 }
 
-// matchListedRuns matches a job with what targets have listed of it under another holder.
+// matchListedRuns matches the tasks of a job with the orphans and unmatched ends that targets
+// have listed.
 func (r *Router) matchListedRuns(j *job) {
 	for _, t := range r.sortedTargets {
 		if len(t.unmatchedEnds) == 0 && len(t.orphans) == 0 {
@@ -247,7 +252,7 @@
 	}
 }
 
-// decisionPairs returns what a decision on a job was taken from.
+// decisionPairs returns the log pairs that describe the basis of a decision on a job.
 func (r *Router) decisionPairs(j *job, more ...any) []any {
 	return append([]any{
 		"route", j.spec.Route, "tasks", j.spec.Count, "cpu", j.spec.Need.CPU, "expect", j.expectedRunTime.Round(time.Millisecond).String(), "declared", j.spec.ExpectedRunTime.String(),
@@ -256,7 +261,7 @@
 	}, more...)
 }
 
-// sendVerdict sends a verdict to the host of the job's client.
+// sendVerdict sends a verdict to the host of the job's client, which may be this host.
 func (r *Router) sendVerdict(origin string, v Verdict) {
 	if origin == r.Self.Address {
 		r.handleVerdict(origin, v)
@@ -267,7 +272,7 @@
 	}
 }
 
-// completeTask notes that a task has done its work.
+// completeTask marks a task as done.
 func (r *Router) completeTask(j *job, index int) {
 	k := &j.tasks[index]
 	if k.state == taskDone || j.ended {
@@ -282,12 +287,12 @@
 	j.doneCount++
 	j.mayHaveStarted = true
 	r.endOrEnqueueJob(j)
-	if !j.ended { // otherwise the verdict tells
+	if !j.ended { // otherwise the verdict reports it
 		r.unreportedTasks[j.origin] = append(r.unreportedTasks[j.origin], DoneTask{ID: j.spec.ID, Task: index})
 	}
 }
 
-// stopRedundantRun stops a run whose task is done by another.
+// stopRedundantRun stops the run of a task that another run has completed.
 func (r *Router) stopRedundantRun(k *task) {
 	n := k.run
 	k.run = nil
@@ -296,7 +301,8 @@
 	}
 }
 
-// endOrEnqueueJob gives the verdict on a job whose end is certain.
+// endOrEnqueueJob ends a job if its outcome is certain, and otherwise queues it while tasks
+// wait.
 func (r *Router) endOrEnqueueJob(j *job) {
 	if j.ended {
 		return
@@ -316,8 +322,8 @@
 	}
 }
 
-// reportableOutcome returns the outcome to tell of a job: it is not refused as not run once
-// a task may have started for an earlier submission.
+// reportableOutcome returns the outcome to report. A refusal, which means that nothing has run,
+// becomes Unknown if a task may have started for an earlier submission.
 func (j *job) reportableOutcome(outcome Outcome) Outcome {
 	if outcome == Refused && j.mayHaveStartedEarlier {
 		return Unknown
@@ -325,16 +331,16 @@
 	return outcome
 }
 
-// endJob gives a job its verdict, once, and stops what still runs.
+// endJob gives a job its only verdict and stops its runs.
 func (r *Router) endJob(j *job, v Verdict) {
 	v.ID, v.SubmissionID = j.spec.ID, j.submissionID
 	v.Outcome = j.reportableOutcome(v.Outcome)
 	if v.Outcome == Refused && j.mayHaveStarted {
-		r.reportViolation("a refusal is true", "%s was begun", j.spec.ID)
+		r.reportViolation("a refusal is true", "%s may have started but would be refused", j.spec.ID)
 		v.Outcome = Failed
 	}
 	if v.Outcome == Complete && j.doneCount != len(j.tasks) {
-		r.reportViolation("complete or failed", "%s has %d of %d tasks", j.spec.ID, j.doneCount, len(j.tasks))
+		r.reportViolation("complete or failed", "%s would be complete with %d of %d tasks done", j.spec.ID, j.doneCount, len(j.tasks))
 	}
 	j.ended, j.verdict, j.endedAt = true, v, r.now
 	r.queue.Remove(j)
@@ -348,7 +354,7 @@
 	r.sendVerdict(j.origin, v)
 }
 
-// stopRuns stops everything of a job.
+// stopRuns stops all runs of a job that are running or unconfirmed.
 func (r *Router) stopRuns(j *job) {
 	for i := range j.tasks {
 		n := j.tasks[i].run
@@ -358,20 +364,20 @@
 	}
 }
 
-// handleWithdraw drops a job that nobody waits for.
+// handleWithdraw ends a job that no client waits for any more. A nil peer stands for this host.
 func (r *Router) handleWithdraw(p *peer, id string) {
 	j := r.jobs[id]
 	if j == nil || j.ended {
 		return
 	}
 	if p != nil && j.origin != p.member.Address {
-		return // it has moved to another host
+		return // the client has submitted the job through another host since
 	}
 	r.endJob(j, Verdict{Outcome: Failed, Reason: Withdrawn})
 }
 
-// endJobsOfOrigin ends the jobs of a host that is not heard any more: its clients
-// have no way to an answer, and may send the jobs to another host.
+// endJobsOfOrigin ends the jobs of a host that is unresponsive: its clients can no longer
+// receive an answer, and may submit the jobs to another host.
 func (r *Router) endJobsOfOrigin(address string) {
 	for _, id := range sortedKeys(r.jobs) {
 		if j := r.jobs[id]; j.origin == address && !j.ended {
@@ -380,8 +386,8 @@
 	}
 }
 
-// dropJobsOfZone gives up the jobs of a zone that has another holder now. Its hosts
-// offer them there, and the new holder takes over what runs.
+// dropJobsOfZone drops the jobs of a zone that has another holder now. The hosts of the zone
+// offer them to the new holder, which takes over their runs.
 func (r *Router) dropJobsOfZone(zone string) {
 	for _, id := range sortedKeys(r.jobs) {
 		j := r.jobs[id]
@@ -391,7 +397,7 @@
 		j.ended, j.endedAt, j.verdict = true, r.now, Verdict{ID: id, Outcome: WrongHolder}
 		r.queue.Remove(j)
 		r.stopRuns(j)
-		r.endedJobs = append(r.endedJobs, j) // it is known for a while, should it come back
+		r.endedJobs = append(r.endedJobs, j) // remembered for VerdictRetention, in case it is offered again
 	}
 }
 
@@ -405,8 +411,8 @@
 	return ""
 }
 
-// postponeTask takes a task's run away whose target has another holder, and keeps the
-// task from starting while the run may go on.
+// postponeTask detaches a task from its run because the run's target has another holder, and
+// keeps the task from starting while that run may continue.
 func (r *Router) postponeTask(j *job, index int, until time.Time) {
 	k := &j.tasks[index]
 	k.notBefore = until
@@ -420,7 +426,8 @@
 	}
 }
 
-// checkJobs gives up jobs that cannot be served any more and forgets old ones.
+// checkJobs aborts jobs that can no longer finish in time, removes ended jobs after
+// VerdictRetention and ends jobs at their deadline.
 func (r *Router) checkJobs() {
 	for _, j := range slices.Clone(r.queue.Items()) {
 		r.recheckQueuedJob(j)
@@ -444,14 +451,14 @@
 	}
 }
 
-// sendProgress sends progress to the jobs' hosts.
+// sendProgress reports finished tasks to the hosts of the jobs' clients.
 func (r *Router) sendProgress() {
 	for _, address := range sortedKeys(r.unreportedTasks) {
-		marks := r.unreportedTasks[address]
+		doneTasks := r.unreportedTasks[address]
 		if address == r.Self.Address {
-			r.handleProgress(&Progress{Tasks: marks})
+			r.handleProgress(&Progress{Tasks: doneTasks})
 		} else if p := r.peers[address]; p != nil {
-			r.send(p, Message{Progress: &Progress{Tasks: marks}})
+			r.send(p, Message{Progress: &Progress{Tasks: doneTasks}})
 		}
 	}
 	clear(r.unreportedTasks)
--- a/internal/router/learn.go
+++ b/internal/router/learn.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// history is what was learned of a route: how the logarithm of its tasks' run time
-// depends on that of the declared one, and how long its clients wait for an answer.
+// history is the route model: a linear regression of the logarithm of a task's run time on the
+// logarithm of its declared run time, and the statistics of the timeouts of the route's
+// clients.
 type history struct {
 	count        int
-	meanX, meanY float64 // declared and measured, logarithms of seconds
+	meanX, meanY float64 // logarithms of the declared and the actual run time in seconds
 	varX, covXY  float64
 	timeouts     timeoutStats
-	// outliers is by how many more of the last tasks were outliers than not.
+	// outliers rises by one with each outlier and falls by one with each other task, down to
+	// zero.
 	outliers int
 }
 
-// RouteStats is a history on its way to another host, so that a new holder does not
-// begin to learn anew.
+// RouteStats are the statistics of a route as they are sent to other hosts and saved in the
+// store, so that a new holder does not start without them.
 type RouteStats struct {
 	Route string  `cbor:"1,keyasint"`
 	Count int     `cbor:"2,keyasint"`
@@ -27,46 +29,47 @@
 	MeanY float64 `cbor:"4,keyasint"`
 	VarX  float64 `cbor:"5,keyasint"`
 	CovXY float64 `cbor:"6,keyasint"`
-	// Timeouts counts the jobs whose clients' timeouts were taken, with their mean
-	// and variance in seconds.
+	// Timeouts is the number of jobs whose timeouts were sampled. MeanTimeout and VarTimeout
+	// are the mean and variance of these timeouts in seconds.
 	Timeouts    int     `cbor:"7,keyasint,omitempty"`
 	MeanTimeout float64 `cbor:"8,keyasint,omitempty"`
 	VarTimeout  float64 `cbor:"9,keyasint,omitempty"`
 }
 
-// KindSpeed is how the tasks of one kind of target compare with others, as the
-// logarithm of a factor on the run time.
+// KindSpeed is the relative speed of one kind of target: the logarithm of the factor that it
+// puts on the run time.
 type KindSpeed struct {
 	Kind  string  `cbor:"1,keyasint"`
 	Count int     `cbor:"2,keyasint"`
 	Log   float64 `cbor:"3,keyasint"`
 
-	factor    float64 // exp(Log) when it was last asked for
-	factorLog float64 // Log at that time
+	factor    float64 // cached exp(Log)
+	factorLog float64 // value of Log that factor belongs to
 }
 
 const (
-	// routeModelWindow is the number of tasks over which a history forgets.
+	// routeModelWindow is the number of tasks over which a route model is averaged.
 	routeModelWindow = 400
-	// minRouteSamples is the number of tasks after which a history is used.
+	// minRouteSamples is the number of tasks from which a route model is used.
 	minRouteSamples = 20
-	// priorSlope is how much of a deviation of the declared run time from the
-	// usual is believed before it was learned.
+	// priorSlope is the slope that is assumed until enough tasks are known to estimate it: half
+	// of the difference between a declared run time and the route's mean shows in the actual
+	// run time.
 	priorSlope = 0.5
-	// speedWindow is the number of tasks over which a kind's speed forgets.
+	// speedWindow is the number of tasks over which the speed of a kind is averaged.
 	speedWindow = 200
-	// minSpeedSamples is the number of tasks after which a kind's speed is used.
+	// minSpeedSamples is the number of tasks from which the speed of a kind is used.
 	minSpeedSamples = 10
-	// maxLogDeviation bounds the deviation that is learned from: beyond a factor of 3
-	// the target is at fault rather than the estimate.
+	// maxLogDeviation is the largest deviation that is learned from. Beyond a factor of 3, the
+	// target is at fault rather than the estimate.
 	maxLogDeviation = 1.1
-	// defaultRunTime is the run time assumed when nothing is declared or learned.
+	// defaultRunTime is the assumed run time of a task if none is declared.
 	defaultRunTime = 300 * time.Millisecond
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// declaredRunTime returns what a job declares as the run time of a task.
+// declaredRunTime returns the declared run time of a task, or defaultRunTime if there is none.
 func declaredRunTime(spec *Job) time.Duration {
 	if spec.ExpectedRunTime <= 0 {
 		return defaultRunTime
@@ -74,17 +77,17 @@
 	return spec.ExpectedRunTime
 }
 
-// predictRunTime returns the expected run time of one task at a target of usual speed.
+// predictRunTime returns the expected run time of one task at a target of average speed.
 func (r *Router) predictRunTime(spec *Job) time.Duration {
 	x := math.Log(declaredRunTime(spec).Seconds())
-	h := r.routeModels[spec.Route]
-	if h == nil || h.count < minRouteSamples || !r.isEnabled(RunTimePrediction) {
+	model := r.routeModels[spec.Route]
+	if model == nil || model.count < minRouteSamples || !r.isEnabled(RunTimePrediction) {
 		return declaredRunTime(spec)
 	}
-	return seconds(math.Exp(h.meanY + h.slope()*(x-h.meanX)))
+	return seconds(math.Exp(model.meanY + model.slope()*(x-model.meanX)))
 }
 
-// slope returns how much of a deviation of the declared run time is believed.
+// slope returns the slope of the regression, between 0 and 1.
 func (h *history) slope() float64 {
 	const minSlopeSamples, minVariance = 100, 1e-3
 	if h.count < minSlopeSamples || h.varX < minVariance {
@@ -93,39 +96,39 @@
 	return min(max(h.covXY/h.varX, 0), 1)
 }
 
-// recordRunTime takes the run time of a task that is done.
+// recordRunTime adds the run time of a finished run to the model of its route and to the speed
+// of its target's kind.
 func (r *Router) recordRunTime(n *run) {
 	runTime := r.now.Sub(n.sentAt)
 	if runTime <= 0 || n.adopted {
 		return
 	}
 	kind := n.target.kind()
-	h := r.routeModelOf(n.job.spec.Route)
+	model := r.routeModelOf(n.job.spec.Route)
 	y := math.Log(runTime.Seconds()) - r.logSpeed(kind)
-	if h.count >= minRouteSamples {
+	if model.count >= minRouteSamples {
 		deviation := y - math.Log(r.predictRunTime(&n.job.spec).Seconds())
 		if math.Abs(deviation) > maxLogDeviation {
-			h.recordOutlier()
+			model.recordOutlier()
 			return
 		}
-		h.outliers = max(h.outliers-1, 0)
+		model.outliers = max(model.outliers-1, 0)
 		r.updateSpeed(kind, deviation)
 	}
-	h.addSample(math.Log(declaredRunTime(&n.job.spec).Seconds()), y)
+	model.addSample(math.Log(declaredRunTime(&n.job.spec).Seconds()), y)
 }
 
-// routeModelOf returns what was learned of a route.
+// routeModelOf returns the model of a route, which it creates if there is none.
 func (r *Router) routeModelOf(route string) *history {
-	h := r.routeModels[route]
-	if h == nil {
-		h = &history{}
-		r.routeModels[route] = h
+	model := r.routeModels[route]
+	if model == nil {
+		model = &history{}
+		r.routeModels[route] = model
 	}
-	return h
+	return model
 }
 
-// recordOutlier notes an outlier. When most tasks are, what was learned is wrong, and learning
-// begins anew.
+// recordOutlier counts an outlier. If most tasks are outliers, the model is wrong and is reset.
 func (h *history) recordOutlier() {
 	h.outliers++
 	if h.outliers > minRouteSamples {
@@ -133,7 +136,8 @@
 	}
 }
 
-// addSample adds one task.
+// addSample adds the run time of one task: x is the logarithm of the declared run time and y
+// that of the actual one.
 func (h *history) addSample(x, y float64) {
 	h.count++
 	w := 1 / float64(min(h.count, routeModelWindow))
@@ -144,7 +148,8 @@
 	h.covXY += w * (dx*(y-h.meanY) - h.covXY)
 }
 
-// updateSpeed takes how far a run was off the prediction for its kind of target.
+// updateSpeed adds the deviation of one run from the prediction to the speed of its target's
+// kind.
 func (r *Router) updateSpeed(kind string, deviation float64) {
 	s := r.kindSpeeds[kind]
 	if s == nil {
@@ -155,7 +160,7 @@
 	s.Log += deviation / float64(min(s.Count, speedWindow))
 }
 
-// logSpeed returns the logarithm of a kind's factor on the run time.
+// logSpeed returns the logarithm of a kind's factor on the run time, or 0 if it is not known.
 func (r *Router) logSpeed(kind string) float64 {
 	if s := r.kindSpeeds[kind]; s != nil && s.Count >= minSpeedSamples && r.isEnabled(KindSpeedLearning) {
 		return s.Log
@@ -163,7 +168,7 @@
 	return 0
 }
 
-// speedFactor returns a kind's factor on the run time.
+// speedFactor returns a kind's factor on the run time, or 1 if it is not known.
 func (r *Router) speedFactor(kind string) float64 {
 	s := r.kindSpeeds[kind]
 	if s == nil || s.Count < minSpeedSamples || !r.isEnabled(KindSpeedLearning) {
@@ -180,7 +185,7 @@
 	return time.Duration(float64(j.taskRunTime) * r.speedFactor(t.kind()))
 }
 
-// kind returns the target's kind, which is its first label.
+// kind returns the target's kind, which is its first label, or "" if it has no labels.
 func (t *Target) kind() string {
 	if len(t.Labels) == 0 {
 		return ""
@@ -188,14 +193,14 @@
 	return t.Labels[0]
 }
 
-// routes returns what was learned, for the other hosts.
+// routes exports the learned state, for other hosts and for the store.
 func (r *Router) routes() ([]RouteStats, []KindSpeed) {
 	var routes []RouteStats
 	for _, route := range sortedKeys(r.routeModels) {
-		h := r.routeModels[route]
+		model := r.routeModels[route]
 		routes = append(routes, RouteStats{
-			Route: route, Count: h.count, MeanX: h.meanX, MeanY: h.meanY, VarX: h.varX, CovXY: h.covXY,
-			Timeouts: h.timeouts.count, MeanTimeout: h.timeouts.mean, VarTimeout: h.timeouts.variance,
+			Route: route, Count: model.count, MeanX: model.meanX, MeanY: model.meanY, VarX: model.varX, CovXY: model.covXY,
+			Timeouts: model.timeouts.count, MeanTimeout: model.timeouts.mean, VarTimeout: model.timeouts.variance,
 		})
 	}
 	var speeds []KindSpeed
@@ -206,15 +211,16 @@
 }
 
 const (
-	// learnedStateSaveInterval is the period at which a holder writes what it has learned to the store:
-	// what is lost with all hosts is a small part of it.
+	// learnedStateSaveInterval is the period at which a holder saves its learned state in the
+	// store. If all hosts fail, only the last samples are lost, a small part of the whole.
 	learnedStateSaveInterval = 10 * time.Second
-	// maxSavedRoutes bounds the routes that are written, the busiest first: 90 bytes each, in a
-	// row of 64 KB.
+	// maxSavedRoutes bounds the routes that are saved, those with the most samples first: 90
+	// bytes each, in a row of 64 KB.
 	maxSavedRoutes = 400
 )
 
-// saveLearnedState writes what was learned to the store when it is due.
+// saveLearnedState saves the learned state in the store when it is due, if this host holds its
+// own cell.
 func (r *Router) saveLearnedState() {
 	c := r.cells[r.Self.Zone]
 	if c == nil || !c.heldHere || r.now.Sub(later(r.learnedStateSavedAt, c.acquiredAt)) < learnedStateSaveInterval {
@@ -226,7 +232,7 @@
 	r.emit(SaveLearnedState{Routes: routes[:min(len(routes), maxSavedRoutes)], Speeds: speeds})
 }
 
-// handleLearnedStateRead takes what earlier holders have written to the store.
+// handleLearnedStateRead merges the learned state that earlier holders have saved in the store.
 func (r *Router) handleLearnedStateRead(e LearnedStateRead) {
 	for _, saved := range e.Saved {
 		if err := checkLearnedState(saved.Routes, saved.Speeds); err != nil {
@@ -238,12 +244,13 @@
 	r.emit(Decision{Action: "recall", Pairs: []any{"rows", len(e.Saved), "routes", len(r.routeModels)}})
 }
 
-// mergeLearnedState takes what another host has learned from more tasks than this one. Run
-// times and speeds only make sense together.
+// mergeLearnedState replaces the whole learned state with the received one if that has more
+// samples, and otherwise ignores it. Route models and kind speeds are replaced together,
+// because they only make sense together.
 func (r *Router) mergeLearnedState(routes []RouteStats, speeds []KindSpeed) {
 	receivedCount, ownCount := 0, 0
-	for _, l := range routes {
-		receivedCount += l.Count
+	for _, received := range routes {
+		receivedCount += received.Count
 	}
 	for _, h := range r.routeModels {
 		ownCount += h.count
@@ -253,10 +260,10 @@
 	}
 	clear(r.routeModels)
 	clear(r.kindSpeeds)
-	for _, l := range routes {
-		r.routeModels[l.Route] = &history{
-			count: l.Count, meanX: l.MeanX, meanY: l.MeanY, varX: l.VarX, covXY: l.CovXY,
-			timeouts: timeoutStats{count: l.Timeouts, mean: l.MeanTimeout, variance: l.VarTimeout},
+	for _, received := range routes {
+		r.routeModels[received.Route] = &history{
+			count: received.Count, meanX: received.MeanX, meanY: received.MeanY, varX: received.VarX, covXY: received.CovXY,
+			timeouts: timeoutStats{count: received.Timeouts, mean: received.MeanTimeout, variance: received.VarTimeout},
 		}
 	}
 	for _, s := range slices.Clone(speeds) {
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// handleRunList takes the lists of a target's good answer.
+// handleRunList handles a successful answer to a renewal, which lists the target's running
+// tasks and the ends of others.
 func (r *Router) handleRunList(t *target, e RenewAnswered) {
 	t.updateClock(e.Clock)
 	if e.StartedAt > 0 && t.incarnation > 0 && e.StartedAt != t.incarnation {
@@ -29,8 +30,8 @@
 			r.handleEnd(t, end)
 		}
 	}
-	r.sendProgress()                   // before the next renewal, which lets the target forget the ends
-	if e.Clock.Millis >= t.listClock { // answers on other connections may overtake
+	r.sendProgress()                   // before the next renewal, whose acknowledgement lets the target discard the ends
+	if e.Clock.Millis >= t.listClock { // an answer on another connection may have overtaken this one
 		t.listClock = e.Clock.Millis
 		r.reconcileRuns(t, e)
 		r.stopOrphans(t)
@@ -45,7 +46,7 @@
 	return b
 }
 
-// handleEnd takes one end.
+// handleEnd handles the end of a run.
 func (r *Router) handleEnd(t *target, end End) {
 	delete(t.orphans, end.Task)
 	n := t.runs[end.Task]
@@ -67,7 +68,7 @@
 	t.unmatchedEnds[end.Task] = end
 }
 
-// reconcileRuns holds what is listed as running against what is known.
+// reconcileRuns compares the runs that a target lists with the runs that are known here.
 func (r *Router) reconcileRuns(t *target, e RenewAnswered) {
 	listed := make(map[string]int, len(e.Running))
 	for _, entry := range e.Running {
@@ -95,8 +96,8 @@
 	}
 }
 
-// handleUnknownRun takes a run that this host did not start: of an earlier holder, or
-// an order that was carried out late.
+// handleUnknownRun handles a listed run that is not known here: a previous holder started it,
+// or the target executed an order late. The run becomes an orphan unless its task can adopt it.
 func (r *Router) handleUnknownRun(t *target, entry RunningTask) {
 	id, index, ok := parseTaskName(entry.Task)
 	if j := r.jobs[id]; ok && j != nil && r.adoptRun(t, j, index, entry) {
@@ -105,8 +106,8 @@
 	t.orphans[entry.Task] = entry.Run
 }
 
-// adoptRun makes a run of an earlier holder one of this host's, if its task
-// still needs it.
+// adoptRun takes over a run that a previous holder started, if its task still waits. It reports
+// whether it did.
 func (r *Router) adoptRun(t *target, j *job, index int, entry RunningTask) bool {
 	if index >= len(j.tasks) || j.ended || j.tasks[index].state != taskWaiting || j.tasks[index].previousRun.isLive() {
 		return false
@@ -127,7 +128,7 @@
 	return Resources{CPU: r.CPU + part.CPU, Memory: r.Memory + part.Memory, GPU: r.GPU + part.GPU}
 }
 
-// stopOrphans stops runs that nobody has claimed in time.
+// stopOrphans stops runs that no job has claimed within the grace period.
 func (r *Router) stopOrphans(t *target) {
 	if len(t.orphans) == 0 || r.now.Sub(t.fencedAt) < r.Bounds.OrphanGrace || r.now.Sub(t.orphansStoppedAt) < stopRetryInterval {
 		return
@@ -144,7 +145,7 @@
 	r.emit(Stop{Target: t.Target, Token: t.token, Task: task, Run: number, Timeout: r.Bounds.OrderTimeout})
 }
 
-// handleStartAnswered takes the answer to a start.
+// handleStartAnswered handles the answer to a Start order, or its absence.
 func (r *Router) handleStartAnswered(e StartAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
@@ -179,22 +180,22 @@
 	r.placementNeeded = true
 }
 
-// canRetryStart reports whether a start that was not answered is ordered once more.
+// canRetryStart reports whether a Start order that was not answered may be sent once more.
 func (r *Router) canRetryStart(n *run) bool {
 	return !n.retried && !n.job.ended && r.isEnabled(StartRetry)
 }
 
-// retryStart orders a start once more that was not answered. The target takes a run
-// once only, so a lost answer costs no time.
+// retryStart sends a Start order once more, over a new connection. A target executes the same
+// run only once, so a lost answer costs no run time.
 func (r *Router) retryStart(n *run) {
 	n.retried = true
 	r.emit(CloseIdle{ID: n.target.ID})
 	r.sendStart(n)
 }
 
-// markUnconfirmed takes a run that may have begun, or may begin later: it is stopped, and
-// over once a list shows so. What a second order is answered says nothing of the
-// first.
+// markUnconfirmed handles a run that may have started, or may still start: it is stopped, and
+// is over once a list of the target lacks it. The answer to a second Start order does not tell
+// what became of the first.
 func (r *Router) markUnconfirmed(n *run, result StartResult) {
 	t := n.target
 	n.state = runUnconfirmed
@@ -206,7 +207,8 @@
 	}
 }
 
-// handleRejectedStart takes back a run that its target did not begin.
+// handleRejectedStart requeues the task of a run that the target did not start, and updates the
+// target's state.
 func (r *Router) handleRejectedStart(t *target, n *run, result StartResult) {
 	if result == StaleRun {
 		n.job.tasks[n.task].lastRun += runNumberStride
@@ -230,7 +232,7 @@
 	}
 }
 
-// stopRun orders a run to stop.
+// stopRun orders a target to stop a run.
 func (r *Router) stopRun(n *run) {
 	if n.state == runRunning {
 		n.state = runStopping
@@ -240,8 +242,8 @@
 	r.emit(Stop{Target: n.target.Target, Token: n.target.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Timeout: r.Bounds.OrderTimeout})
 }
 
-// handleStopAnswered takes the answer to a stop: the run is over once a list that is asked
-// for from now on lacks it.
+// handleStopAnswered handles the answer to a Stop order. The run is over once a list that is
+// requested after the answer lacks it.
 func (r *Router) handleStopAnswered(e StopAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
@@ -255,8 +257,8 @@
 	r.pollTarget(t)
 }
 
-// ejectTarget leaves a target out for a while, longer each time in a row: a trial costs a job
-// the time until it is moved.
+// ejectTarget ejects a target for a duration that doubles with each consecutive ejection,
+// because a failed trial delays a job until its task is moved.
 func (r *Router) ejectTarget(t *target, duration time.Duration, reason string) {
 	if !r.now.Before(t.ejectedUntil) {
 		t.ejections++
@@ -266,7 +268,7 @@
 	r.logTarget(t, "barred", "reason", reason, "span", duration.String(), "failures", t.failures, "strikes", t.ejections)
 }
 
-// releaseCapacity takes a run out of its target's books.
+// releaseCapacity removes a run from its target and frees the capacity that it used.
 func (r *Router) releaseCapacity(n *run) {
 	name := taskName(n.job.spec.ID, n.task)
 	if n.target.runs[name] != n {
@@ -280,13 +282,14 @@
 	r.placementNeeded = true
 }
 
-// undoStart takes a run back that has not begun and never will.
+// undoStart removes a run that has not started and never will, and requeues its task.
 func (r *Router) undoStart(n *run) {
 	r.releaseCapacity(n)
 	r.requeueTask(n, false)
 }
 
-// requeueTask makes a task wait again after its run.
+// requeueTask makes a task wait again after its run has ended. After a failure, the task avoids
+// the run's target.
 func (r *Router) requeueTask(n *run, failed bool) {
 	k := &n.job.tasks[n.task]
 	if k.run != n {
@@ -301,7 +304,8 @@
 	r.endOrEnqueueJob(n.job)
 }
 
-// endRun ends a run for good.
+// endRun handles the end of a run: it frees the capacity, updates the target's health and the
+// learned state, and completes or requeues the task.
 func (r *Router) endRun(n *run, reason EndReason) {
 	r.releaseCapacity(n)
 	j := n.job
@@ -319,7 +323,7 @@
 	r.requeueTask(n, reason == EndFailed)
 }
 
-// updateTargetHealth counts for and against a target.
+// updateTargetHealth counts the end of a run for or against its target.
 func (r *Router) updateTargetHealth(n *run, reason EndReason) {
 	t := n.target
 	switch reason {
@@ -337,5 +341,4 @@
 	}
 }
 
-// avoids reports whether a target is avoided for a task.
 func (k *task) avoids(id string) bool { return slices.Contains(k.avoidedTargets, id) }
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	// firstPollFraction and nextLook are the parts of the expected run time after which
-	// a run's progress is looked at, and shortestLook the shortest time.
+	// firstPollFraction and nextPollFraction are the parts of the expected run time after which
+	// a run's progress is polled, for the first time and then again. minProgressPollDelay is
+	// the shortest delay of a poll.
 	firstPollFraction    = 0.2
 	nextPollFraction     = 0.3
 	minProgressPollDelay = 60 * time.Millisecond
-	// minProgressPercent is the least progress, in percent, that tells the run time: it is
-	// rounded to whole percents.
+	// minProgressPercent is the least progress, in percent, from which the run time can be
+	// extrapolated: progress is rounded to whole percents.
 	minProgressPercent = 8
 )
 
-// nextPollTime returns when a run's progress is to be looked at after now.
+// nextPollTime returns when a run's progress is polled next: after the given part of its
+// expected run time.
 func (n *run) nextPollTime(now time.Time, fraction float64) time.Time {
 	return now.Add(max(seconds(n.expectedRunTime.Seconds()*fraction), minProgressPollDelay))
 }
 
-// pollDueRuns looks at runs whose progress is due.
+// pollDueRuns polls a target if the progress of one of its runs is due.
 func (r *Router) pollDueRuns(t *target) {
 	due := false
 	for _, n := range t.runs {
@@ -32,7 +34,8 @@
 	}
 }
 
-// handleRunProgress takes how far a run has come.
+// handleRunProgress handles the progress of a run. It may eject the target, move the task to
+// another target or abort the job.
 func (r *Router) handleRunProgress(n *run, percent float64) {
 	elapsed := r.elapsedRunTime(n)
 	if n.state != runRunning || n.job.ended || elapsed <= 0 {
@@ -56,8 +59,8 @@
 
 const fullPercent = 100
 
-// elapsedRunTime returns how long a run has run as its target's clock tells: answers may have
-// waited here.
+// elapsedRunTime returns how long a run has run by its target's clock, since answers may have
+// been delayed at this host. If that clock is not known, it counts from confirmedAt.
 func (r *Router) elapsedRunTime(n *run) time.Duration {
 	if n.startClock == 0 || n.target.listClock == 0 {
 		return r.now.Sub(n.confirmedAt)
@@ -65,7 +68,7 @@
 	return time.Duration(n.target.listClock-n.startClock) * time.Millisecond
 }
 
-// relocateTask stops a run so that its task starts at another target.
+// relocateTask stops a run so that its task starts again at another target.
 func (r *Router) relocateTask(n *run, elapsed time.Duration) {
 	t := n.target
 	r.emit(Decision{Action: "move", Job: n.job.spec.ID, Task: taskName(n.job.spec.ID, n.task), Target: t.ID, Pairs: []any{
@@ -75,11 +78,11 @@
 	r.stopRun(n)
 }
 
-// abortIfTooLate gives a job up as soon as one of its runs shows that it cannot end in
-// time.
+// abortIfTooLate aborts a job as soon as the progress of one of its runs shows that it cannot
+// finish by its deadline.
 func (r *Router) abortIfTooLate(n *run) {
 	j := n.job
-	minRunTime := seconds(n.estimatedRunTime.Seconds() * (n.percent - 1) / n.percent) // the percents are rounded
+	minRunTime := seconds(n.estimatedRunTime.Seconds() * (n.percent - 1) / n.percent) // progress is rounded to whole percents
 	end := n.sentAt.Add(minRunTime)
 	if !end.After(j.deadline) {
 		return
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// request is an open job of clients of this host.
+// request is an open job that clients of this host have submitted.
 type request struct {
 	job            Job
 	clientRequests []uint64
 	arrivedAt      time.Time
 	deadline       time.Time
-	// holder is the address of the host that has the job, and token the claim
-	// under which it was offered; both are zero while none has it.
+	// holder is the address of the host that the job was offered to, and token the claim under
+	// which it was offered. Both are zero while no host has the job.
 	holder string
 	token  uint64
-	// offerCount is how often that holder was offered the job.
+	// offerCount is how often the job was offered to that holder.
 	offerCount int
-	// previousZones are the zones of the earlier holders; empty until there was one.
+	// previousZones are the zones whose targets a previous holder may have used. The list is
+	// empty until the holder has changed.
 	previousZones []string
 	doneTasks     []int
 	runBase       int
@@ -25,20 +26,20 @@
 }
 
 const (
-	// runNumberStride is the number of runs that one holder may give a task. A target
-	// refuses runs below those that have ended there, so the next holder's
-	// numbers begin above.
+	// runNumberStride is the number of runs of a task that one holder may start. A target
+	// refuses run numbers up to the highest that has ended there, so the numbers of the next
+	// holder start above.
 	runNumberStride = 16
-	// minTimeLeft is the shortest time in which a job can be handed over and run.
+	// minTimeLeft is the shortest time in which a job can be offered and run.
 	minTimeLeft = 20 * time.Millisecond
-	// noHolderRetryAfter is when to come back while no host holds the cell: the time
-	// of a claim by the next successor.
+	// noHolderRetryAfter is the retry delay for clients while no host holds the cell: the time
+	// in which the next successor claims it.
 	noHolderRetryAfter = 500 * time.Millisecond
-	// answerGrace is how long an answer may come after the client's time is over.
+	// answerGrace is how long after the client's deadline an answer may still arrive.
 	answerGrace = 50 * time.Millisecond
 )
 
-// handleSubmit takes a job of a client.
+// handleSubmit handles a job that a client submits. A job that is already open is joined.
 func (r *Router) handleSubmit(e Submit) {
 	if q := r.requestsByJob[e.Job.ID]; q != nil {
 		q.clientRequests = append(q.clientRequests, e.Request)
@@ -51,7 +52,8 @@
 	r.offerRequest(q)
 }
 
-// offerRequest hands a request to the holder of this host's cell, if there is one.
+// offerRequest offers a request to the holder of this host's cell, unless there is none, it
+// already has the job under the same claim, or its heartbeat is overdue.
 func (r *Router) offerRequest(q *request) {
 	h := r.reachableHolder(r.Self.Zone)
 	if h == nil {
@@ -78,17 +80,17 @@
 	r.sendOffer(r.peers[h.Address], q)
 }
 
-// isSuspect reports whether a peer has been quiet for longer than a heartbeat and a half.
-// What is not offered to it meanwhile can go to the next holder at once, without
-// waiting for runs that may have begun.
+// isSuspect reports whether nothing was received from a peer for more than one and a half
+// heartbeat intervals. A job that is not offered to such a holder can go to the next holder at
+// once, without waiting for runs that may have started.
 func (r *Router) isSuspect(address string) bool {
 	p := r.peers[address]
 	return p != nil && r.now.Sub(p.lastReceivedAt) > r.Bounds.HeartbeatInterval*3/2 && r.isEnabled(SuspectHolderAvoidance)
 }
 
-// sendOffer offers a request to another host. One that takes over from an earlier
-// holder is first told which targets that holder may have used: the list that it
-// has read itself may lack those of a zone that was cut off.
+// sendOffer offers a request to another host. If the job had a previous holder, the message
+// before the offer lists the targets that this holder may have used: the directory that the new
+// holder has read may lack targets of a zone that was cut off.
 func (r *Router) sendOffer(p *peer, q *request) {
 	if len(q.previousZones) > 0 && p.previousTargetsSentToken < q.token {
 		p.previousTargetsSentToken = q.token
@@ -97,7 +99,7 @@
 	r.send(p, Message{Offer: r.newOffer(q)})
 }
 
-// newOffer returns what a holder is told of a request.
+// newOffer creates the offer of a request for a holder.
 func (r *Router) newOffer(q *request) *Offer {
 	q.offerCount++
 	return &Offer{
@@ -106,9 +108,9 @@
 	}
 }
 
-// recordHolderChange notes that a request leaves a holder that may have begun it. The former
-// holder learns of the new claim and drops the job by itself; a withdrawal would
-// stop tasks that the new holder can take over.
+// recordHolderChange records that a request leaves a holder that may have started it. The
+// request is not withdrawn: the previous holder drops the job when it receives the new claim,
+// whereas a withdrawal would stop tasks that the new holder can take over.
 func (r *Router) recordHolderChange(q *request) {
 	for _, zone := range sortedKeys(r.cells) {
 		used := r.sharesCells(zone) || r.cells[zone].claim.Holder.Address == q.holder
@@ -120,7 +122,7 @@
 	q.holder, q.token = "", 0
 }
 
-// offerAllRequests hands every request to the holder in force.
+// offerAllRequests offers every request to the current holder.
 func (r *Router) offerAllRequests() {
 	for _, id := range sortedKeys(r.requestsByJob) {
 		if q := r.requestsByJob[id]; q != nil {
@@ -129,8 +131,8 @@
 	}
 }
 
-// checkRequests offers requests anew where the holder has changed and answers
-// those that cannot be served any more.
+// checkRequests offers requests again if the holder has changed, and answers those that can no
+// longer be served.
 func (r *Router) checkRequests() {
 	h := r.reachableHolder(r.Self.Zone)
 	for _, id := range sortedKeys(r.requestsByJob) {
@@ -147,13 +149,14 @@
 	}
 }
 
-// answerIfExpired answers a request whose time is over or that no host will serve.
+// answerIfExpired answers a request if its deadline is over, or if no host holds the cell and
+// the job can no longer finish in time or has waited for noHolderRetryAfter.
 func (r *Router) answerIfExpired(q *request, hasHolder bool) {
-	late := r.now.After(q.deadline.Add(answerGrace))
+	expired := r.now.After(q.deadline.Add(answerGrace))
 	minTime := max(q.job.ExpectedRunTime, minTimeLeft)
-	unheldSince := later(q.arrivedAt, r.cell(r.Self.Zone).holderlessSince)
-	cannotFinish := !hasHolder && (r.now.Add(minTime).After(q.deadline) || r.now.Sub(unheldSince) > noHolderRetryAfter)
-	if !late && !cannotFinish {
+	noHolderSince := later(q.arrivedAt, r.cell(r.Self.Zone).holderlessSince)
+	cannotBeServed := !hasHolder && (r.now.Add(minTime).After(q.deadline) || r.now.Sub(noHolderSince) > noHolderRetryAfter)
+	if !expired && !cannotBeServed {
 		return
 	}
 	v := Verdict{ID: q.job.ID, Outcome: Unknown, Reason: Expired}
@@ -169,11 +172,11 @@
 	r.answerRequest(q, v)
 }
 
-// handleVerdict takes the verdict of a holder.
+// handleVerdict handles the verdict of a holder on a request.
 func (r *Router) handleVerdict(holder string, v Verdict) {
 	q := r.requestsByJob[v.ID]
 	if q == nil || v.Outcome != Complete && v.SubmissionID != 0 && v.SubmissionID != q.arrivedAt.UnixNano() {
-		return // it was for an earlier submission
+		return // it belongs to an earlier submission
 	}
 	if q.holder != holder {
 		if v.Outcome == Complete {
@@ -183,26 +186,28 @@
 	}
 	switch {
 	case v.Outcome == WrongHolder:
-		// It was not taken; watchRequests offers it to the holder in force. An
-		// earlier offer to the same holder may have been.
+		// The holder did not accept the job, so checkRequests offers it to the current holder.
+		// If it was offered to the same holder more than once, an earlier offer may have been
+		// accepted.
 		if q.offerCount > 1 {
 			r.recordHolderChange(q)
 		}
 		q.holder, q.token = "", 0
 		return
 	case v.Outcome == Refused && len(q.previousZones) > 0:
-		v.Outcome = Unknown // an earlier holder may have begun it
+		v.Outcome = Unknown // a previous holder may have started it
 	}
 	r.answerRequest(q, v)
 }
 
-// answerAndWithdraw ends a request that an earlier holder has completed after all.
+// answerAndWithdraw answers a request that a previous holder has completed after all, and
+// withdraws the job from its current holder.
 func (r *Router) answerAndWithdraw(q *request, v Verdict) {
 	r.answerRequest(q, v)
 	r.withdrawFrom(q.holder, q.job.ID)
 }
 
-// withdrawFrom withdraws a job from a holder, or from none for "".
+// withdrawFrom withdraws a job from a holder. It does nothing if holder is empty.
 func (r *Router) withdrawFrom(holder, id string) {
 	if holder == r.Self.Address {
 		r.handleWithdraw(nil, id)
@@ -211,7 +216,7 @@
 	}
 }
 
-// answerRequest ends a request.
+// answerRequest ends a request and answers all its clients.
 func (r *Router) answerRequest(q *request, v Verdict) {
 	delete(r.requestsByJob, q.job.ID)
 	r.emit(Decision{Action: "answer", Job: q.job.ID, Routine: v.Outcome == Complete, Pairs: []any{
@@ -224,7 +229,7 @@
 	}
 }
 
-// handleProgress notes tasks that are done.
+// handleProgress records finished tasks of this host's requests.
 func (r *Router) handleProgress(p *Progress) {
 	for _, m := range p.Tasks {
 		if q := r.requestsByJob[m.ID]; q != nil {
@@ -236,7 +241,8 @@
 	}
 }
 
-// handleClientGone drops a client that has gone, and its job with the last of them.
+// handleClientGone removes a client that has disconnected, and withdraws its job if no other
+// client waits for it.
 func (r *Router) handleClientGone(e ClientGone) {
 	q := r.openRequests[e.Request]
 	if q == nil {
@@ -249,7 +255,7 @@
 	}
 }
 
-// withdrawRequest takes a request back from its holder and ends it.
+// withdrawRequest withdraws a job from its holder and ends the request.
 func (r *Router) withdrawRequest(q *request) {
 	r.withdrawFrom(q.holder, q.job.ID)
 	if r.requestsByJob[q.job.ID] == q {
@@ -257,7 +263,7 @@
 	}
 }
 
-// handleCancel withdraws a job on its client's order.
+// handleCancel withdraws a job that a client cancels.
 func (r *Router) handleCancel(e Cancel) {
 	q := r.requestsByJob[e.ID]
 	r.emit(Cancelled{Request: e.Request, Known: q != nil})
@@ -266,7 +272,7 @@
 	}
 }
 
-// handleCountOpen tells which jobs of this host's clients are open.
+// handleCountOpen reports the open jobs of this host's clients.
 func (r *Router) handleCountOpen(e CountOpen) {
 	p := OpenJobs{Request: e.Request, Unstarted: make(map[string]int), Open: make(map[string]bool)}
 	for id, q := range r.requestsByJob {
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// isMoreUrgent reports whether a comes before b: jobs that have begun come first, then
-// those that must start first.
+// isMoreUrgent reports whether a is more urgent than b: jobs that may have started come first,
+// then those with the earliest latest start.
 func isMoreUrgent(a, b *job) bool {
 	if a.mayHaveStarted != b.mayHaveStarted {
 		return a.mayHaveStarted
@@ -14,8 +14,9 @@
 	return mustStartEarlier(a, b)
 }
 
-// isPlacedBefore reports whether a is placed before b: jobs that are late already come
-// last, and before them those beyond the fair share of their route.
+// isPlacedBefore reports whether a is placed before b. Late jobs come last. Among the others,
+// jobs beyond the fair share of their route come after those within it, as long as both or
+// neither may have started.
 func (r *Router) isPlacedBefore(a, b *job) bool {
 	if r.Policy.QueueOrder == ByArrival && !a.arrivedAt.Equal(b.arrivedAt) {
 		return a.arrivedAt.Before(b.arrivedAt)
@@ -29,11 +30,11 @@
 	return isMoreUrgent(a, b)
 }
 
-// isLate reports whether a job can hardly be answered within its objective.
+// isLate reports whether a job is unlikely to be answered within its latency objective.
 func (r *Router) isLate(j *job) bool { return j.likelyRetry || r.now.After(j.latestStart) }
 
-// mustStartEarlier orders the queue by when jobs must start. The order of two jobs never
-// changes.
+// mustStartEarlier orders the queue by the latest start of its jobs. The order of two jobs
+// never changes.
 func mustStartEarlier(a, b *job) bool {
 	if !a.latestStart.Equal(b.latestStart) {
 		return a.latestStart.Before(b.latestStart)
@@ -41,7 +42,8 @@
 	return a.spec.ID < b.spec.ID
 }
 
-// placeTasks starts as many waiting tasks as there is room for.
+// placeTasks starts the waiting tasks that fit the free capacity, in the order of
+// isPlacedBefore.
 func (r *Router) placeTasks() {
 	if !r.placementNeeded {
 		return
@@ -58,7 +60,7 @@
 		}
 		return 1
 	})
-	minUnplacedCPU := make(map[string]int) // least processor need that found no room, by service
+	minUnplacedCPU := make(map[string]int) // smallest CPU need that found no target, by service
 	for _, j := range ordered {
 		if minCPU, ok := minUnplacedCPU[j.spec.Service]; ok && j.spec.Need.CPU >= minCPU && j.spec.Label == "" {
 			continue
@@ -69,7 +71,9 @@
 	}
 }
 
-// placeJob starts the waiting tasks of a job and reports whether all found room.
+// placeJob starts the waiting tasks of a job. It returns false if a task found no target for
+// lack of capacity. If a task that avoids targets or a job that may not use all cells finds
+// none, that says nothing about the capacity for other jobs, and the result is true.
 func (r *Router) placeJob(j *job) bool {
 	if r.isQuarantined(j) {
 		return true
@@ -88,25 +92,26 @@
 	return true
 }
 
-// isQuarantined reports whether a queued job may not be started now: its zone has
-// another holder by now, or runs of an earlier one may still be under way. It
-// takes no room from the jobs behind it.
+// isQuarantined reports whether a queued job may not start now: because its zone has another
+// holder, or because runs of a previous holder may still be under way. It holds no capacity
+// back from the jobs behind it.
 func (r *Router) isQuarantined(j *job) bool {
 	c := r.cells[r.zoneOf(j.origin)]
 	return c == nil || !c.heldHere || j.reoffered && !r.isQuarantineOver(j)
 }
 
-// isQuarantineOver reports whether no run of an earlier holder can start or go on unseen:
-// all targets of its zones have obeyed this host since the job came, or the time for
-// it has passed. That they did before says nothing: an earlier holder may have had
-// them in between, under a claim that is not known here yet.
+// isQuarantineOver reports whether no run of a previous holder can start or continue unnoticed:
+// all targets of the job's previous zones have accepted this host's token since the job was
+// offered, or the quarantine has expired. An earlier confirmation is not enough, because a
+// previous holder may have held the targets in between, under a claim that is not known here
+// yet.
 func (r *Router) isQuarantineOver(j *job) bool {
 	if r.now.After(j.quarantinedUntil) {
 		return true
 	}
 	for _, zone := range j.previousZones {
 		if c := r.cells[zone]; c == nil || !c.heldHere {
-			return false // its targets obey another host and may not be listed here
+			return false // its targets belong to another holder and may not be listed here
 		}
 	}
 	hasConfirmed := func(entry Target) bool {
@@ -126,11 +131,12 @@
 	return true
 }
 
-// isAcquiredAfter reports whether a cell was taken after a job came. The host of the job does not
-// count it among those that an earlier holder may have used.
+// isAcquiredAfter reports whether this host acquired a cell after a job was offered. The host
+// of the job's client does not count such a cell among those that a previous holder may have
+// used.
 func (c *cell) isAcquiredAfter(j *job) bool { return c.acquiredAt.After(j.offeredAt) }
 
-// hasExcludedCells reports whether a job may not use all cells that this host holds.
+// hasExcludedCells reports whether this host holds cells that a job may not use.
 func (r *Router) hasExcludedCells(j *job) bool {
 	for _, c := range r.cells {
 		if c.heldHere && c.isAcquiredAfter(j) {
@@ -140,8 +146,8 @@
 	return false
 }
 
-// pollPreviousTargets asks the targets that an earlier holder of a job may have used whether they
-// obey this host.
+// pollPreviousTargets asks the targets that a previous holder of a job may have used whether
+// they accept this host's token.
 func (r *Router) pollPreviousTargets(j *job) {
 	for _, t := range r.sortedTargets {
 		if t.lastConfirmedAt.Before(j.offeredAt) && slices.Contains(j.previousZones, t.Zone) {
@@ -150,8 +156,9 @@
 	}
 }
 
-// chooseTarget returns the target for a task: the one whose room the task fills best,
-// so that wide tasks still find room; nil if there is none.
+// chooseTarget returns the best target for a task, or nil if there is none. Apart from the
+// penalties, this is the target with the least CPU left (best fit), so that other targets keep
+// room for large tasks.
 func (r *Router) chooseTarget(j *job, k *task) *target {
 	var best *target
 	bestLeft := 0
@@ -172,31 +179,34 @@
 }
 
 const (
-	// otherRackPenalty outweighs any difference of room, in thousandths of a core:
-	// away from its data a task takes several times as long.
+	// otherRackPenalty outweighs any difference in free CPU, in thousandths of a core: in
+	// another rack than its data, a task takes several times as long.
 	otherRackPenalty = 4_000_000
-	// latePenalty does so for a target where the task is expected too late.
+	// latePenalty applies to a target where the task is expected to end too late. It also
+	// outweighs any difference in free CPU.
 	latePenalty = 1_000_000
-	// speedPenalty keeps fast targets free for tasks that need them.
+	// speedPenalty weighs the speed of a target. It keeps fast targets free for tasks that need
+	// them.
 	speedPenalty = 100_000
-	// otherZonePenalty keeps a job's tasks in the zone of its client, so that the cut of
-	// another zone does not take them. It outweighs the room that is left at a
-	// target, and a difference in speed of 40 %.
+	// otherZonePenalty keeps a job's tasks in the zone of its client, so that losing the
+	// connection to another zone does not affect them. It outweighs the free CPU of a target
+	// and a difference in speed of 40 %.
 	otherZonePenalty = 40_000
-	// zoneAffinityMaxLoad is the load up to which awayPenalty counts: beyond, all zones are packed
-	// as one pool.
+	// zoneAffinityMaxLoad is the utilization up to which otherZonePenalty applies. Above it,
+	// all zones are packed as one pool.
 	zoneAffinityMaxLoad = 0.8
-	// preferFastMaxLoad is the load from which fast targets are kept for those tasks: with
-	// a third of the targets being slow, they are full at two thirds.
+	// preferFastMaxLoad is the utilization from which fast targets are left to tasks that need
+	// them. If a third of the targets are slow, the fast ones are full at a utilization of two
+	// thirds.
 	preferFastMaxLoad = 0.6
-	// runTimeMarginFactor is the factor on an expected run time that one in six runs
-	// exceeds: run times are off by 0.3 (standard deviation of the logarithm).
+	// runTimeMarginFactor is the factor on an expected run time that one in six runs exceeds:
+	// the logarithms of run times deviate from the prediction by 0.3 (one standard deviation).
 	runTimeMarginFactor = 1.35
 )
 
-// penalty returns what speaks against a target beside the room that is left. A
-// task that would be in time at a slower target too leaves the faster ones, once
-// these are scarce, to tasks that would not.
+// penalty returns the penalty of a target, in thousandths of a core, which is added to the CPU
+// that it has left. Once fast targets are scarce, tasks that finish in time on a slower target
+// leave the fast ones to tasks that do not.
 func (r *Router) penalty(j *job, t *target) int {
 	penalty := 0
 	if j.spec.Rack != "" && !t.hasLabel(j.spec.Rack) {
@@ -205,21 +215,22 @@
 	if r.isEnabled(ZoneAffinity) && r.targetLoad < zoneAffinityMaxLoad && r.zoneOf(j.origin) != t.Zone {
 		penalty += otherZonePenalty
 	}
-	expect := r.expectedRunTimeAt(j, t)
-	if r.now.Add(seconds(expect.Seconds()*runTimeMarginFactor) + networkOverhead).After(j.dueAt) {
-		return penalty + latePenalty + int(expect.Milliseconds())
+	expectedRunTime := r.expectedRunTimeAt(j, t)
+	if r.now.Add(seconds(expectedRunTime.Seconds()*runTimeMarginFactor) + networkOverhead).After(j.dueAt) {
+		return penalty + latePenalty + int(expectedRunTime.Milliseconds())
 	}
 	if !r.isEnabled(SpeedAwarePlacement) {
 		return penalty
 	}
-	speed := j.taskRunTime.Seconds() / max(expect.Seconds(), 1e-3)
+	speed := j.taskRunTime.Seconds() / max(expectedRunTime.Seconds(), 1e-3)
 	if r.targetLoad < preferFastMaxLoad {
 		speed = -speed
 	}
 	return penalty + int(speedPenalty*speed)
 }
 
-// currentUtilization returns the part of the processors of usable targets that is in use.
+// currentUtilization returns the part of the usable targets' CPU that is in use, between 0 and
+// 1.
 func (r *Router) currentUtilization() float64 {
 	used, total := 0, 0
 	for _, t := range r.sortedTargets {
@@ -231,10 +242,10 @@
 	return float64(used) / float64(max(total, 1))
 }
 
-// hasLabel reports whether a target has a label; the empty one is had by all.
+// hasLabel reports whether a target has the label. Every target has the empty label.
 func (t *Target) hasLabel(label string) bool { return label == "" || slices.Contains(t.Labels, label) }
 
-// isAtTaskLimit reports whether a target has its share of a job's tasks.
+// isAtTaskLimit reports whether a target already runs as many tasks of a job as it may.
 func (r *Router) isAtTaskLimit(j *job, t *target) bool {
 	if j.spec.MaxPerTarget <= 0 {
 		return false
@@ -248,11 +259,11 @@
 	return count >= j.spec.MaxPerTarget
 }
 
-// startTask orders a target to run a task.
+// startTask starts a task at a target.
 func (r *Router) startTask(j *job, index int, t *target) {
 	k := &j.tasks[index]
 	if k.run != nil {
-		r.reportViolation("one run a task", "%s runs at %s", taskName(j.spec.ID, index), k.run.target.ID)
+		r.reportViolation("one run a task", "%s already has a run at %s", taskName(j.spec.ID, index), k.run.target.ID)
 		return
 	}
 	if !r.transitionTask(j, index, taskStart) {
@@ -260,7 +271,7 @@
 	}
 	name := taskName(j.spec.ID, index)
 	if old := t.runs[name]; old != nil {
-		r.reportViolation("one run a task", "%s is still known at %s", name, t.ID)
+		r.reportViolation("one run a task", "%s still has another run at %s", name, t.ID)
 	}
 	k.lastRun++
 	n := &run{job: j, task: index, number: k.lastRun, target: t, need: j.spec.Need, state: runStarting, sentAt: r.now, expectedRunTime: r.expectedRunTimeAt(j, t)}
@@ -284,7 +295,7 @@
 	}
 }
 
-// sendStart sends a run's Start.
+// sendStart sends the Start order of a run.
 func (r *Router) sendStart(n *run) {
 	t := n.target
 	r.extendRunExpiry(t)
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -1,13 +1,13 @@
 package router
 
-// Policy chooses between ways to queue and to refuse. The zero value is the one to
-// serve with; the others are there to be measured against it.
+// Policy selects the rules by which jobs are queued and refused. The zero value is the one for
+// production. The other values exist to compare it with.
 type Policy struct {
 	QueueOrder QueueOrder
 	Admission  Admission
 	Sharing    Sharing
 	RetryOrder RetryOrder
-	// Disabled switches one mechanism off, to measure what it is worth.
+	// Disabled switches one mechanism off, to measure its benefit.
 	Disabled Mechanism
 }
 
@@ -15,78 +15,82 @@
 type Mechanism string
 
 const (
-	// WorkWeighting refuses jobs with much work for their route earlier.
+	// WorkWeighting refuses a job earlier if it has much work compared with the mean of its
+	// route.
 	WorkWeighting Mechanism = "weights"
-	// OverloadBackoff tells refused clients to stay away while overload is expected to last.
+	// OverloadBackoff tells refused clients to wait for as long as the overload is expected to
+	// last.
 	OverloadBackoff Mechanism = "spells"
-	// ZoneAffinity keeps tasks in the zone of their client while there is room.
+	// ZoneAffinity places tasks in the zone of their client while utilization is low.
 	ZoneAffinity Mechanism = "zone"
-	// SpeedAwarePlacement uses fast targets first, and keeps them for long tasks once they are scarce.
+	// SpeedAwarePlacement uses fast targets first, and leaves them to long tasks once they are
+	// scarce.
 	SpeedAwarePlacement Mechanism = "fast"
-	// RunTimePrediction predicts run times from measured ones.
+	// RunTimePrediction predicts the run times of a route from those of its earlier tasks.
 	RunTimePrediction Mechanism = "times"
-	// KindSpeedLearning learns how fast each kind of target is.
+	// KindSpeedLearning learns the relative speed of each kind of target.
 	KindSpeedLearning Mechanism = "speeds"
-	// SlowTargetEjection leaves targets out on which runs take longer than expected.
+	// SlowTargetEjection ejects targets whose runs take longer than expected.
 	SlowTargetEjection Mechanism = "slow"
-	// FailingTargetEjection leaves targets out on which runs fail.
+	// FailingTargetEjection ejects targets whose runs fail.
 	FailingTargetEjection Mechanism = "failures"
-	// EarlyAbort gives jobs up once a run shows that they cannot end in time.
+	// EarlyAbort aborts a job once the progress of a run shows that it cannot finish in time.
 	EarlyAbort Mechanism = "hopeless"
-	// StartRetry orders a start once more that was not answered.
+	// StartRetry sends a Start order once more if it was not answered.
 	StartRetry Mechanism = "repeats"
-	// SuspectHolderAvoidance offers nothing to a holder that has been quiet for more than a heartbeat.
+	// SuspectHolderAvoidance offers no jobs to a holder whose heartbeat is overdue.
 	SuspectHolderAvoidance Mechanism = "suspects"
-	// StandbyConnections keeps connections to the targets open at the hosts that follow the holder.
+	// StandbyConnections keeps connections to the targets open at the holder's successors.
 	StandbyConnections Mechanism = "standby"
 )
 
-// Mechanisms returns all parts that can be switched off.
+// Mechanisms returns all mechanisms that can be disabled.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		WorkWeighting, OverloadBackoff, ZoneAffinity, SpeedAwarePlacement, RunTimePrediction, KindSpeedLearning, SlowTargetEjection, FailingTargetEjection, EarlyAbort, StartRetry, SuspectHolderAvoidance, StandbyConnections,
 	}
 }
 
-// isEnabled reports whether a mechanism is in force.
 func (r *Router) isEnabled(m Mechanism) bool { return r.Policy.Disabled != m }
 
-// QueueOrder is which of the waiting jobs comes first.
+// QueueOrder is the order in which waiting jobs are placed.
 type QueueOrder string
 
 const (
-	// ByLatestStart places first what must start first, and late jobs last.
+	// ByLatestStart places jobs by their latest start, and late jobs last.
 	ByLatestStart QueueOrder = ""
-	// ByArrival places jobs as they came.
+	// ByArrival places jobs in the order of their arrival.
 	ByArrival QueueOrder = "arrival"
 )
 
-// Admission is which jobs are refused at once.
+// Admission selects the jobs that are refused on arrival.
 type Admission string
 
 const (
-	// ByBacklog refuses jobs that cannot be in time behind the work before them.
+	// ByBacklog refuses jobs that cannot finish in time behind the backlog.
 	ByBacklog Admission = ""
-	// AdmitAll refuses none that fits a target.
+	// AdmitAll accepts every job that fits a target.
 	AdmitAll Admission = "all"
 )
 
-// Sharing is what a route may take while there is not enough for all.
+// Sharing limits the work that a route may take while its service is overloaded.
 type Sharing string
 
 const (
-	// FairShares gives each route what it asks for up to an even level.
+	// FairShares gives each route what it demands, up to the same rate for all (max-min
+	// fairness).
 	FairShares Sharing = ""
-	// NoSharing lets routes take what they can get.
+	// NoSharing sets no limit per route.
 	NoSharing Sharing = "none"
 )
 
-// RetryOrder is how a job is treated whose client has waited for an answer before.
+// RetryOrder is the place in the queue of a job that is probably a retry, submitted by its
+// client after an earlier try had no answer.
 type RetryOrder string
 
 const (
-	// RetriesLast places it after the jobs that can still be in time.
+	// RetriesLast places retries after the jobs that can still be in time.
 	RetriesLast RetryOrder = ""
-	// RetriesAsNew places it as if its client had just come.
+	// RetriesAsNew places retries like new jobs.
 	RetriesAsNew RetryOrder = "new"
 )
--- a/internal/router/share.go
+++ b/internal/router/share.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// share is what a route asks of its service's targets, and what it may take while
-// all routes together ask for more than there is.
+// share tracks the demand of a route, and the work that the route may take while its service is
+// overloaded.
 type share struct {
 	service string
-	// demand is the work that its jobs bring, in thousandths of a core, over the
-	// last time of shareWindow, as of noted.
+	// demand is the work per second that the route's jobs ask for, in thousandths of a core, as
+	// of demandUpdatedAt. It decays exponentially with the time constant demandWindow.
 	demand          float64
 	demandUpdatedAt time.Time
-	// workBudget is the work, in thousandths of a core times seconds, that it may still
-	// take within its share, as of granted.
+	// workBudget is the work that the route may still take within its fair share, in
+	// thousandths of a core times seconds, as of refilledAt.
 	workBudget float64
 	refilledAt time.Time
-	// overloadedSince is when the spell of overload began in which the last refusal fell.
+	// overloadedSince is the start of the overload period that the last refusal belongs to.
 	overloadedSince, lastRefusedAt time.Time
 }
 
 const (
-	// demandWindow is the time over which the work asked for is averaged: some ten
-	// jobs of the rarest usual route.
+	// demandWindow is the time constant of the mean demand: the time in which about ten jobs of
+	// the least frequent regular route arrive.
 	demandWindow = 1500 * time.Millisecond
-	// shareBurst is the time for which a route may save up its share: a few jobs of the
-	// rarest usual route.
+	// shareBurst is the time for which a route may accumulate unused budget: the time in which
+	// a few jobs of the least frequent regular route arrive.
 	shareBurst = 250 * time.Millisecond
-	// shareUtilization is the part of the targets' processors that tasks can fill.
+	// shareUtilization is the part of the targets' CPU that tasks can fill.
 	shareUtilization = 0.9
-	// overloadGap is the time without a refusal that ends a spell of overload: refusals of
-	// the busiest route are closer in one.
+	// overloadGap is the time without a refusal that ends an overload period. During one,
+	// refusals of the busiest route are closer together.
 	overloadGap = 500 * time.Millisecond
-	// maxOverloadBackoff bounds how much longer a spell of overload is expected to last, to
-	// about what a client waits for an answer.
+	// maxOverloadBackoff bounds the overload backoff to about the time that a client waits for
+	// an answer.
 	maxOverloadBackoff = time.Second
 )
 
-// demandRate returns the work asked for at a time.
+// demandRate returns the demand at the given time, in thousandths of a core.
 func (s *share) demandRate(now time.Time) float64 {
 	return s.demand * math.Exp(-now.Sub(s.demandUpdatedAt).Seconds()/demandWindow.Seconds())
 }
 
-// addDemand notes work that is asked for.
+// addDemand adds the work of a new job, in thousandths of a core times seconds.
 func (s *share) addDemand(now time.Time, work float64) {
 	s.demand = s.demandRate(now) + work/demandWindow.Seconds()
 	s.demandUpdatedAt = now
 }
 
-// refill adds what the route may take up to now at a level.
+// refill adds the work that the route may take between refilledAt and now at the given rate.
+// The budget holds at most the work of shareBurst.
 func (s *share) refill(now time.Time, rate float64) {
 	s.workBudget = min(s.workBudget+rate*now.Sub(s.refilledAt).Seconds(), rate*shareBurst.Seconds())
 	s.refilledAt = now
 }
 
-// recordRefusal notes a refusal and returns for how long the route will stay overloaded: for
-// as long as it has been, as nothing else is known.
+// recordRefusal records a refusal and returns how long the overload is expected to last: as
+// long as it has lasted already, since nothing else is known.
 func (s *share) recordRefusal(now time.Time) time.Duration {
 	if s.lastRefusedAt.IsZero() || now.Sub(s.lastRefusedAt) > overloadGap {
 		s.overloadedSince = now
@@ -66,7 +67,7 @@
 	return min(now.Sub(s.overloadedSince), maxOverloadBackoff)
 }
 
-// pendingWork returns what a job's waiting tasks take, in thousandths of a core times
+// pendingWork returns the work of a job's waiting tasks, in thousandths of a core times
 // seconds.
 func (j *job) pendingWork() float64 {
 	return float64(j.waitingCount*j.spec.Need.CPU) * j.expectedRunTime.Seconds()
@@ -82,9 +83,11 @@
 	return s
 }
 
-// exceedsFairShare notes what a job asks for and reports whether its route is beyond its fair
-// share: the routes of a service get what they ask for, up to a level at which all
-// together get what there is: so much processor, in thousandths of a core.
+// exceedsFairShare adds a job to the demand of its route and refills the route's budget, and
+// reports whether the route exceeds its fair share (its budget is used up). The fair shares of
+// a service's routes follow max-min fairness: each route gets what it demands, up to a rate at
+// which all routes together use the available CPU. total is the CPU of the service's targets in
+// thousandths of a core.
 func (r *Router) exceedsFairShare(j *job, total int) bool {
 	s := r.shareOf(j)
 	s.addDemand(r.now, j.pendingWork())
@@ -103,8 +106,9 @@
 	return s.workBudget <= 0
 }
 
-// fairRate returns the rate of work up to which each route of a service gets all that it
-// asks for; it is infinite while there is enough for all.
+// fairRate returns the rate of work up to which each route of a service gets its full demand,
+// for a capacity of total, both in thousandths of a core. It returns infinity if the capacity
+// covers the demand of all routes.
 func (r *Router) fairRate(service string, total float64) float64 {
 	var rates []float64
 	sum := 0.0
--- a/internal/router/slowdown.go
+++ b/internal/router/slowdown.go
@@ -6,32 +6,36 @@
 )
 
 const (
-	// allowedLogSlowdown is the logarithm of the factor by which runs may take longer than
-	// expected on average at a sound target: 1.6.
+	// allowedLogSlowdown is the logarithm of the factor by which runs at a healthy target may
+	// on average take longer than expected: 1.6.
 	allowedLogSlowdown = 0.5
-	// slowdownSumToEject is the sum of what runs take beyond that which leaves a target out: two or
-	// three runs at a sixth to a quarter of the speed. Runs of a sound target, whose
-	// logarithms deviate by 0.45, reach it once in some ten thousand.
+	// slowdownSumToEject is the sum of the slowdowns beyond allowedLogSlowdown at which a
+	// target is ejected: two or three runs at a sixth to a quarter of the normal speed. Runs of
+	// a healthy target, whose logarithms deviate by 0.45, reach it about once in ten thousand
+	// runs.
 	slowdownSumToEject = 2
-	// maxLogSlowdown bounds what one run adds, so that it takes two to leave a target out.
+	// maxLogSlowdown bounds what one run adds to the sum, so that it takes two runs to eject a
+	// target.
 	maxLogSlowdown = 1.5
-	// failedTrialLogSlowdown is the logarithm of the factor from which a trial has failed: 2.
+	// failedTrialLogSlowdown is the logarithm of the factor above which a trial has failed: 2.
 	failedTrialLogSlowdown = 0.7
-	// minInformativeRunTime is the shortest run whose progress tells its run time: the clock of a target
-	// counts milliseconds, and its lists whole percents.
+	// minInformativeRunTime is the shortest elapsed time from which progress can be
+	// extrapolated: the clock of a target counts milliseconds, and its progress is in whole
+	// percents.
 	minInformativeRunTime = 30 * time.Millisecond
-	// stalledRunTimeFactor is how many times as long as expected a run takes that is known to be slow
-	// although its progress has hardly begun.
+	// stalledRunTimeFactor is the factor on the expected run time beyond which a run counts as
+	// slow even though its progress is too small to extrapolate.
 	stalledRunTimeFactor = 5
-	// slowEjectionDuration is how long a slow target is left out before a trial.
+	// slowEjectionDuration is how long a slow target is ejected before a trial.
 	slowEjectionDuration = 1200 * time.Millisecond
-	// maxEjectedFraction is the part of a service's targets that may be left out for being slow.
-	// Where more are slow, it is not the targets that differ from what is expected.
+	// maxEjectedFraction is the part of a service's targets that may be ejected for being slow.
+	// If more targets seem slow, the expectation is wrong rather than the targets.
 	maxEjectedFraction = 1.0 / 3
 )
 
-// recordSlowdown takes how long a run takes in all, as soon as that shows. It is a sequential test
-// (CUSUM) of whether the target has become slow.
+// recordSlowdown records the total run time of a run, once per run and as soon as it is known
+// or can be extrapolated. It is a sequential test (CUSUM) for whether the target has become
+// slow, and ejects the target if so.
 func (r *Router) recordSlowdown(n *run, runTime time.Duration) {
 	if n.slowdownRecorded || n.adopted || n.expectedRunTime <= 0 || runTime <= 0 || !r.canPredictRunTime(n.job.spec.Route) || !r.isEnabled(SlowTargetEjection) {
 		return
@@ -49,14 +53,15 @@
 	r.ejectTarget(t, slowEjectionDuration, "slow")
 }
 
-// minRunTime returns the time that a run takes in all, at least, after it has run for so
-// long.
+// minRunTime returns the shortest total run time of a run that is consistent with its progress
+// after the elapsed time.
 func (n *run) minRunTime(elapsed time.Duration) time.Duration {
 	return seconds(elapsed.Seconds() * fullPercent / (n.percent + 1))
 }
 
-// recordRunningSlowdown takes how far a run has come, once that is telling. A run that has hardly
-// begun counts where targets are known to tell any progress at all.
+// recordRunningSlowdown records the slowdown of a run from its progress, once that is
+// informative. A run with hardly any progress counts only if targets are known to report
+// progress at all.
 func (r *Router) recordRunningSlowdown(n *run, elapsed time.Duration) {
 	runTime := n.minRunTime(elapsed)
 	if n.percent >= minProgressPercent || r.targetsReportProgress && runTime > stalledRunTimeFactor*n.expectedRunTime {
@@ -64,21 +69,22 @@
 	}
 }
 
-// recordFinalSlowdown takes how long a run took until its end was seen here. A host that lacks
-// processor time sees ends late, so this speaks for a target only, not against it.
+// recordFinalSlowdown records the run time of a finished run, as seen by this host. A host that
+// lacks CPU time sees ends late, so this can count only in favour of a target.
 func (r *Router) recordFinalSlowdown(n *run, runTime time.Duration) {
 	if runTime.Seconds() < n.expectedRunTime.Seconds()*math.Exp(allowedLogSlowdown) {
 		r.recordSlowdown(n, runTime)
 	}
 }
 
-// canPredictRunTime reports whether run times of a route are predicted from measured ones.
+// canPredictRunTime reports whether the run times of a route are predicted from those of
+// earlier tasks.
 func (r *Router) canPredictRunTime(route string) bool {
-	h := r.routeModels[route]
-	return h != nil && h.count >= minRouteSamples
+	model := r.routeModels[route]
+	return model != nil && model.count >= minRouteSamples
 }
 
-// canEject reports whether few enough targets of the service are left out.
+// canEject reports whether one more target of the service may be ejected.
 func (r *Router) canEject(t *target) bool {
 	all, ejected := 0, 0
 	for _, other := range r.sortedTargets {
@@ -90,8 +96,8 @@
 	return float64(ejected+1) <= maxEjectedFraction*float64(all)
 }
 
-// isSlowOrStalled reports whether a run is slow at a slow target, or stands still after the time
-// that it should have taken in all.
+// isSlowOrStalled reports whether a run is slow at an ejected target, or has made no
+// informative progress after its whole expected run time.
 func (r *Router) isSlowOrStalled(n *run, elapsed time.Duration) bool {
 	if n.slow && r.now.Before(n.target.ejectedUntil) {
 		return true
@@ -99,10 +105,10 @@
 	return r.targetsReportProgress && n.percent < minProgressPercent && elapsed > n.expectedRunTime+r.Bounds.StopDuration
 }
 
-// shouldRestartElsewhere reports whether a run would end much sooner if it were stopped and its
-// task started anew at a sound target, and in time there.
+// shouldRestartElsewhere reports whether a task would finish much sooner, and in time, if its
+// run were stopped and the task started again at a healthy target.
 func (r *Router) shouldRestartElsewhere(n *run, elapsed time.Duration) bool {
-	const minGainFactor = 2 // work is thrown away, and there may be no room
+	const minGainFactor = 2 // the work done so far is lost, and there may be no free target
 	timeElsewhere := r.Bounds.StopDuration + n.job.expectedRunTime
 	return n.minRunTime(elapsed)-elapsed > minGainFactor*timeElsewhere && !r.now.Add(timeElsewhere).After(n.job.deadline)
 }
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// target is one target of a cell that this host holds.
+// target is a target of a cell that this host holds.
 type target struct {
 	Target
-	token uint64 // this host's claim
-	// fenced tells that the target has taken the token: no other host's order
-	// with a lower one does anything there any more.
+	token uint64 // fencing token of this host's claim
+	// fenced is set once the target has accepted the token. From then on, it rejects the orders
+	// of hosts with a lower token.
 	fenced           bool
-	lastConfirmedAt  time.Time // when the last good answer was asked for
+	lastConfirmedAt  time.Time // when the last renewal with a good answer was sent
 	lastReading      Reading
-	runsExpireAt     time.Time // when everything there has lapsed without further orders
+	runsExpireAt     time.Time // when all leases there have expired unless an order extends them
 	lastAckedEnd     int
 	incarnation      int64
 	runs             map[string]*run // by task
 	used             Resources
-	orphans          map[string]int // number of each run listed there that nobody here knows, by task
-	orphansStoppedAt time.Time      // when orphans were last stopped
-	listClock        int64          // target's clock of the newest list
-	// unmatchedEnds are ends of tasks whose job this host was not told of yet.
+	orphans          map[string]int // numbers of listed runs that no job claims, by task
+	orphansStoppedAt time.Time      // last time that the orphans were ordered to stop
+	listClock        int64          // the target's clock at its newest list, in milliseconds
+	// unmatchedEnds are ends of tasks whose job was not offered to this host yet.
 	unmatchedEnds  map[string]End
-	fencedAt       time.Time // when it was fenced
-	renewing       bool      // a renewal is under way
-	pollsInFlight  int       // renewals under way beside that one
-	lastPollAt     time.Time // when the last of them was sent
-	pollAgain      bool      // look once more
-	missedRenewals int       // renewals without an answer in a row
-	nextRenewalAt  time.Time // no renewal before
-	listed         bool      // stands in the directory
-	unlistedSince  time.Time // since when it does not
-	// failures counts jobs in a row that failed here; a target that fails all
-	// is left out until a trial succeeds.
+	fencedAt       time.Time // when it accepted the token
+	renewing       bool      // a renewal is under way, apart from polls
+	pollsInFlight  int       // polls under way
+	lastPollAt     time.Time // when the last poll was sent
+	pollAgain      bool      // a poll was requested while another was under way
+	missedRenewals int       // consecutive renewals without an answer
+	nextRenewalAt  time.Time // earliest time of the next renewal
+	listed         bool      // is in the directory
+	unlistedSince  time.Time // when it left the directory
+	// failures counts the consecutive runs that failed here. A target whose runs fail is
+	// ejected until a trial succeeds.
 	failures     int
-	slowdownSum  float64   // how much longer runs take lately than allowed, see noteSlowdown
-	ejections    int       // times in a row that it was left out
-	ejectedUntil time.Time // no starts before
-	onTrial      bool      // the next start is a trial
+	slowdownSum  float64   // CUSUM of the slowdowns of its runs, see recordSlowdown
+	ejections    int       // consecutive ejections
+	ejectedUntil time.Time // no starts before this time
+	onTrial      bool      // it gets one task at a time until one succeeds
 }
 
 // run is one start of a task at a target.
@@ -52,25 +52,27 @@
 	need   Resources
 	state  runState
 	sentAt time.Time
-	// adopted tells that an earlier holder started the run: its start is not known.
+	// adopted is set if a previous holder started the run, so that its start time is not known.
 	adopted bool
-	// retried tells that the start was ordered a second time.
+	// retried is set if the Start order was sent a second time.
 	retried bool
-	// startClock is the target's clock, in milliseconds, when the run had begun; 0 means
-	// that it is not known.
+	// startClock is the target's clock, in milliseconds, when the run had started; 0 if it is
+	// not known.
 	startClock int64
-	// confirmedAt is when an answer proved what the target's lists must show: a
-	// list asked for later that lacks the run means that it is over.
+	// confirmedAt is when an answer of the target last confirmed the state of the run; zero if
+	// none has since the last order. If a list that was requested after confirmedAt lacks the
+	// run, the run is over.
 	confirmedAt time.Time
-	stopSentAt  time.Time // when the last Stop left
-	// expectedRunTime is the expected run time here; lookAt is when progress is due;
-	// percent and total are what progress has shown.
+	stopSentAt  time.Time // when the last Stop was sent
+	// expectedRunTime is the expected run time at this target and nextPollAt the time of the
+	// next progress poll. percent and estimatedRunTime are the last reported progress and the
+	// total run time extrapolated from it.
 	expectedRunTime  time.Duration
 	nextPollAt       time.Time
 	percent          float64
 	estimatedRunTime time.Duration
-	// slowdownRecorded tells that the run has counted for or against the target, and slow that it
-	// was too slow.
+	// slowdownRecorded is set once the run has counted for or against its target, and slow if
+	// it was too slow for a trial.
 	slowdownRecorded, slow bool
 }
 
@@ -79,37 +81,38 @@
 const (
 	runStarting    runState = "starting"
 	runRunning     runState = "running"
-	runUnconfirmed runState = "doubtful" // no answer to the start
+	runUnconfirmed runState = "doubtful" // the Start order was not answered
 	runStopping    runState = "stopping"
 )
 
 const (
-	// renewRetryInterval is the pause after a renewal without an answer.
+	// renewRetryInterval is the delay of the next renewal after one without an answer. It grows
+	// by the same time with each further one, up to ten times.
 	renewRetryInterval = 50 * time.Millisecond
-	// leaseExpiryMargin is added to a lease before its runs count as gone: the time of
-	// an order on its way.
+	// leaseExpiryMargin is added to a lease before its runs count as ended: the time that an
+	// order takes to arrive.
 	leaseExpiryMargin = 50 * time.Millisecond
-	// minPollInterval is the pause between two looks while the first is not answered:
-	// half of the tenth of a second that a target may be paused.
+	// minPollInterval is the least time between two polls while the first one is not answered:
+	// half of the 100 ms for which a target may be paused.
 	minPollInterval = 50 * time.Millisecond
-	// stopRetryInterval is the pause between two Stops of one run.
+	// stopRetryInterval is the time between two Stop orders for the same run.
 	stopRetryInterval = 150 * time.Millisecond
-	// failuresToEject is how many jobs in a row must fail at a target before it
-	// is left out. Tasks fail by their own fault in 2 of 1,000 runs.
+	// failuresToEject is the number of consecutive failed runs at which a target is ejected.
+	// Tasks fail by their own fault in 2 of 1,000 runs.
 	failuresToEject = 2
-	// failingEjectionDuration is how long a failing target is left out before a trial.
+	// failingEjectionDuration is how long a failing target is ejected before a trial.
 	failingEjectionDuration = 1500 * time.Millisecond
-	// maxEjectionDoublings bounds how often the time doubles for which a target is left out:
-	// up to 4.8 to 6 s, the usual length of a fault.
+	// maxEjectionDoublings bounds how often the duration of an ejection doubles: up to 4.8 s
+	// for slow and 6 s for failing targets, the usual length of a fault.
 	maxEjectionDoublings = 2
-	// unhealthyEjectionDuration is how long a target that refuses as unhealthy is left out.
+	// unhealthyEjectionDuration is how long a target that rejects a start as unhealthy is
+	// ejected.
 	unhealthyEjectionDuration = 500 * time.Millisecond
-	// fullTargetDelay is how long a target that had no room is left out, unless a
-	// list of its runs comes first.
+	// fullTargetDelay is how long no task is started at a target that had no capacity for one.
 	fullTargetDelay = 100 * time.Millisecond
 )
 
-// syncTargets follows the directory and the held cells.
+// syncTargets updates the targets from the directory, the previous targets and the held cells.
 func (r *Router) syncTargets() {
 	seen := make(map[string]bool, len(r.directory.Targets))
 	for _, entry := range r.directory.Targets {
@@ -137,7 +140,7 @@
 	r.placementNeeded = true
 }
 
-// registerTarget takes a directory entry of a held cell.
+// registerTarget adds or updates a target of a held cell from its directory entry.
 func (r *Router) registerTarget(entry Target, c *cell) {
 	t := r.targets[entry.ID]
 	if t == nil {
@@ -150,7 +153,7 @@
 		r.logTarget(t, "draining")
 	}
 	restarted := entry.StartedAt > t.StartedAt && t.StartedAt > 0 && entry.StartedAt > t.incarnation
-	t.incarnation = max(t.incarnation, t.StartedAt) // its next list tells of the new life
+	t.incarnation = max(t.incarnation, t.StartedAt) // its next list shows the new incarnation
 	t.Target, t.listed = entry, true
 	if restarted {
 		r.pollTarget(t)
@@ -162,23 +165,24 @@
 	}
 }
 
-// logTarget logs a change of what is believed of a target.
+// logTarget logs a change of a target's state as this host sees it.
 func (r *Router) logTarget(t *target, state string, pairs ...any) {
 	r.emit(Decision{Action: "target", Target: t.ID, Pairs: append([]any{"state", state, "runs", len(t.runs), "age", r.formatAge(t.lastConfirmedAt)}, pairs...)})
 }
 
-// handleTargetRestart begins a new life of a target. Its list tells what has survived: runs that
-// were started after the restart may go on.
+// handleTargetRestart resets what is known of a target that has restarted. Its runs are kept
+// until a list shows which of them exist, since runs that were started after the restart may
+// continue.
 func (r *Router) handleTargetRestart(t *target, startedAt int64) {
 	r.logTarget(t, "restarted", "born", startedAt)
 	t.incarnation, t.lastAckedEnd, t.lastReading, t.listClock = startedAt, 0, Reading{}, 0
 	t.orphans, t.unmatchedEnds = make(map[string]int), make(map[string]End)
 	t.failures, t.slowdownSum, t.ejectedUntil = 0, 0, time.Time{}
-	r.pollTarget(t) // for starts that were answered after the list was asked for
+	r.pollTarget(t) // covers starts that were answered after the list was requested
 }
 
-// releaseTarget stops using a target whose cell another host holds. The next holder
-// takes over its runs or stops them.
+// releaseTarget removes a target whose cell has another holder. The new holder takes over its
+// runs or stops them.
 func (r *Router) releaseTarget(t *target) {
 	postponedUntil := r.now.Add(r.Bounds.LeaseDuration + r.Bounds.OrphanGrace + 2*r.Bounds.StopDuration)
 	for _, name := range sortedKeys(t.runs) {
@@ -189,13 +193,12 @@
 	r.removeTarget(t)
 }
 
-// removeTarget forgets a target.
 func (r *Router) removeTarget(t *target) {
 	delete(r.targets, t.ID)
 	r.sortedTargets = slices.DeleteFunc(r.sortedTargets, func(other *target) bool { return other == t })
 }
 
-// isUsable reports whether a target may be given a task now.
+// isUsable reports whether a target can be given a task now.
 func (r *Router) isUsable(t *target) bool {
 	if !t.fenced || !t.listed || t.Draining || r.now.Before(t.ejectedUntil) || r.isUnresponsive(t) {
 		return false
@@ -206,12 +209,14 @@
 	return len(t.orphans) == 0
 }
 
-// isUnresponsive reports whether a target has not answered lately.
+// isUnresponsive reports whether a target has missed a renewal or has not answered any for
+// longer than the interval of idle renewals.
 func (r *Router) isUnresponsive(t *target) bool {
 	return t.missedRenewals > 0 || r.now.Sub(t.lastConfirmedAt) > r.Bounds.IdleRenewInterval+r.Bounds.RenewTimeout
 }
 
-// leaseEnd returns the end of a lease that begins now, on the target's clock.
+// leaseEnd returns the end of a lease that starts now, in milliseconds of the target's clock,
+// or 0 if that clock is not known.
 func (t *target) leaseEnd(now time.Time, lease time.Duration) int64 {
 	if t.lastReading.At.IsZero() {
 		return 0
@@ -219,7 +224,8 @@
 	return t.lastReading.Millis + (now.Sub(t.lastReading.At) + lease).Milliseconds()
 }
 
-// extendRunExpiry notes that an order extends the target's lease.
+// extendRunExpiry records that an order extends the leases of a target's runs, by a lease with
+// the greatest clock drift and leaseExpiryMargin.
 func (r *Router) extendRunExpiry(t *target) {
 	end := r.now.Add(r.Bounds.LeaseDuration + time.Duration(float64(r.Bounds.LeaseDuration)*r.Bounds.MaxClockDrift) + leaseExpiryMargin)
 	if end.After(t.runsExpireAt) {
@@ -227,14 +233,15 @@
 	}
 }
 
-// updateClock takes the target's clock.
+// updateClock stores a reading of the target's clock if it is newer than the last one.
 func (t *target) updateClock(clock Reading) {
 	if !clock.At.IsZero() && clock.At.After(t.lastReading.At) {
 		t.lastReading = clock
 	}
 }
 
-// renewTarget sends the renewal that waits for an end.
+// renewTarget sends the next renewal when it is due, unless one is under way. At a target with
+// runs, the renewal waits until a run ends or RenewWait is over.
 func (r *Router) renewTarget(t *target) {
 	if t.renewing || r.now.Before(t.nextRenewalAt) {
 		return
@@ -247,8 +254,9 @@
 	r.sendRenew(t, wait, false)
 }
 
-// pollTarget asks at once what runs at a target, or a moment after the last time if that
-// was not answered yet: the answer may be lost.
+// pollTarget asks a target at once what it runs. If a poll was sent less than minPollInterval
+// ago and is not answered yet, the next one follows after that time, because the answer may be
+// lost.
 func (r *Router) pollTarget(t *target) {
 	if t.pollsInFlight > 0 && r.now.Sub(t.lastPollAt) < minPollInterval {
 		t.pollAgain = true
@@ -262,8 +270,8 @@
 func (r *Router) sendRenew(t *target, wait time.Duration, poll bool) {
 	leaseEnd := int64(0)
 	if len(t.orphans) == 0 && t.missedRenewals == 0 {
-		// Orphans would run on, and what runs at a silent target could not
-		// start elsewhere.
+		// Leases are not extended while the target has orphans, which would run on, or is
+		// unresponsive, since its tasks can start elsewhere only after the leases have expired.
 		leaseEnd = t.leaseEnd(r.now, r.Bounds.LeaseDuration)
 		r.extendRunExpiry(t)
 	}
@@ -273,7 +281,7 @@
 	})
 }
 
-// handleRenewAnswered takes the answer to a renewal.
+// handleRenewAnswered handles the answer to a renewal, or its absence.
 func (r *Router) handleRenewAnswered(e RenewAnswered) {
 	t := r.targets[e.Target]
 	if t == nil {
@@ -305,7 +313,7 @@
 	r.scheduleRenewal(t)
 }
 
-// scheduleRenewal sets when the next renewal is due.
+// scheduleRenewal sets the time of the next renewal.
 func (r *Router) scheduleRenewal(t *target) {
 	switch {
 	case t.missedRenewals > 0:
@@ -318,7 +326,7 @@
 	r.renewTarget(t)
 }
 
-// handleMissedRenewal notes a renewal without an answer, unless a later order was answered.
+// handleMissedRenewal counts a renewal without an answer, unless a later renewal was answered.
 func (r *Router) handleMissedRenewal(t *target, sentAt time.Time) {
 	if t.fenced && t.lastConfirmedAt.After(sentAt) {
 		return
@@ -330,7 +338,8 @@
 	r.emit(CloseIdle{ID: t.ID})
 }
 
-// handleReplacedTarget notes that another process answers at a target's address.
+// handleReplacedTarget ends the runs of a target because another process answers at its
+// address.
 func (r *Router) handleReplacedTarget(t *target) {
 	r.logTarget(t, "replaced")
 	for _, name := range sortedKeys(t.runs) {
@@ -339,8 +348,8 @@
 	t.fenced, t.missedRenewals = false, t.missedRenewals+1
 }
 
-// checkTargets sends renewals that are due, ends runs whose lease has lapsed and
-// forgets targets that are gone.
+// checkTargets sends due renewals, polls and stops, ends runs whose lease has expired and
+// removes targets that have left the directory.
 func (r *Router) checkTargets() {
 	r.expirePreviousTargets()
 	for _, id := range sortedKeys(r.targets) {
@@ -364,7 +373,7 @@
 	}
 }
 
-// expireRuns ends all runs of a target that no order has reached for a lease.
+// expireRuns ends all runs of a target that no order has reached for the duration of a lease.
 func (r *Router) expireRuns(t *target) {
 	r.logTarget(t, "lapsed")
 	t.fenced = false
@@ -374,7 +383,7 @@
 	r.emit(CloseIdle{ID: t.ID})
 }
 
-// retryStops repeats orders that have had no effect yet.
+// retryStops sends Stop orders again that have had no effect yet.
 func (r *Router) retryStops(t *target) {
 	for _, name := range sortedKeys(t.runs) {
 		n := t.runs[name]
