--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkTask measures all steps of a holder for one task: its job's arrival,
-// the start, the answer and the end, with half of the targets in use.
+// BenchmarkTask measures all steps of a holder for one task: the arrival of its job, the start,
+// the answer of the target and the end. One task runs at a time.
 func BenchmarkTask(b *testing.B) {
 	for _, targets := range []int{48, 350, 2000} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) { benchTask(b, targets) })
--- a/internal/router/check_test.go
+++ b/internal/router/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// malformedMessages are messages that no host of this version sends.
+// malformedMessages returns messages that no host of this version sends.
 func malformedMessages() map[string]Message {
 	offer := func(change func(*Offer)) Message {
 		o := &Offer{Job: twoTaskJob("bad"), TimeLeft: time.Second, SubmissionID: 1}
@@ -19,7 +19,7 @@
 	}
 	member := Member{Name: "n", Zone: "north", Address: "10.0.0.9:1", Incarnation: 5, Slot: 9}
 	return map[string]Message{
-		"no id":          offer(func(o *Offer) { o.Job.ID = "" }),
+		"no ID":          offer(func(o *Offer) { o.Job.ID = "" }),
 		"negative count": offer(func(o *Offer) { o.Job.Count = -1 }),
 		"huge count":     offer(func(o *Offer) { o.Job.Count = math.MaxInt64 }),
 		"negative need":  offer(func(o *Offer) { o.Job.Need.CPU = -1 }),
@@ -27,13 +27,13 @@
 		"negative base":  offer(func(o *Offer) { o.RunBase = -1 }),
 		"generation":     {Heartbeat: &Heartbeat{Member: member, Generation: math.MaxUint64}},
 		"token":          {Heartbeat: &Heartbeat{Member: member, Claims: []Claim{{Zone: "north", Token: math.MaxUint64}}}},
-		"lesson":         {Heartbeat: &Heartbeat{Member: member, Routes: []RouteStats{{Route: "r", Count: 9, MeanX: math.NaN()}}}},
+		"route stats":    {Heartbeat: &Heartbeat{Member: member, Routes: []RouteStats{{Route: "r", Count: 9, MeanX: math.NaN()}}}},
 		"speed":          {Heartbeat: &Heartbeat{Member: member, Speeds: []KindSpeed{{Kind: "a", Count: 9, Log: math.Inf(1)}}}},
 	}
 }
 
-// TestMalformedMessagesAreRejected: a malformed message changes nothing but the log, and ends no
-// process.
+// TestMalformedMessagesAreRejected: a malformed message is logged, changes no state and does
+// not crash the process.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	const from = "10.0.0.9:1"
 	for name, m := range malformedMessages() {
@@ -48,13 +48,13 @@
 			assert.NotEmpty(t, effectsOf[Decision](effects), name)
 		}, name)
 		assert.Equal(t, generation, b.router.generation, name)
-		_, effects := b.startTask("sound", Running)
+		_, effects := b.startTask("valid", Running)
 		assert.Empty(t, effectsOf[Violation](effects), name)
 	}
 }
 
-// FuzzReceive feeds a holder with whatever decodes as a message: it goes on, and no
-// invariant breaks.
+// FuzzReceive sends a holder any message that can be decoded. The holder must keep working
+// without a violated invariant.
 func FuzzReceive(f *testing.F) {
 	for _, m := range malformedMessages() {
 		data, err := cbor.Marshal(m)
@@ -75,7 +75,7 @@
 		b.receiveHeartbeatFrom("10.0.0.9:1")
 		effects := b.step(Receive{From: "10.0.0.9:1", Message: m})
 		effects = append(effects, b.advance(100*time.Millisecond)...)
-		effects = append(effects, b.step(Submit{Request: 1, Job: twoTaskJob("sound"), Budget: time.Second})...)
+		effects = append(effects, b.step(Submit{Request: 1, Job: twoTaskJob("valid"), Budget: time.Second})...)
 		assert.Empty(t, effectsOf[Violation](effects))
 	})
 }
--- a/internal/router/origin_test.go
+++ b/internal/router/origin_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// originBed is one router with a peer that holds all cells.
+// originBed is a router with one peer, which holds all cells.
 type originBed struct {
 	router  *Router
 	now     time.Time
@@ -35,7 +35,8 @@
 	return b.effects
 }
 
-// advance lets time go by in ticks, with heartbeats of the peer.
+// advance advances the time in ticks, in which the router receives heartbeats of the peer with
+// a claim of the given generation. It returns all effects.
 func (b *originBed) advance(d time.Duration, generation uint64) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
@@ -46,7 +47,8 @@
 	return all
 }
 
-// receiveHeartbeat hears a heartbeat of the peer, which holds the zone; 0 means no claim.
+// receiveHeartbeat delivers a heartbeat of the peer, with its claim to the zone of the given
+// generation, or without a claim if generation is 0.
 func (b *originBed) receiveHeartbeat(generation uint64) []Effect {
 	heartbeat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}
 	if generation > 0 {
@@ -85,10 +87,10 @@
 	return b.step(Receive{From: b.peer.Address, Message: Message{Verdict: &v}})
 }
 
-// TestReofferedJobIsNotReportedAsRefused: a holder that was offered a job twice, over a link that was
-// made anew, may have begun it before it lost the cell. Its word that it does not
-// hold the cell answers the second offer only, so a later refusal would not be
-// true.
+// TestReofferedJobIsNotReportedAsRefused: a holder that was offered a job twice, because the
+// connection was opened again, may have started it before it lost the cell. Its answer that it
+// does not hold the cell belongs to the second offer only, so a later refusal must not be
+// reported as one.
 func TestReofferedJobIsNotReportedAsRefused(t *testing.T) {
 	b := newOriginBed(t)
 	effects := b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
@@ -97,13 +99,14 @@
 	b.receiveVerdict(Verdict{ID: "j", Outcome: WrongHolder})
 	offered := offers(b.advance(40*time.Millisecond, 1))
 	require.NotEmpty(t, offered)
-	assert.True(t, offered[0].Reoffered, "the next offer tells that the job may have begun")
+	assert.True(t, offered[0].Reoffered, "the next offer must say that the job may have started")
 	got := answers(b.receiveVerdict(Verdict{ID: "j", Outcome: Refused, Reason: Overload}))
 	require.Len(t, got, 1)
 	assert.Equal(t, Unknown, got[0].Outcome)
 }
 
-// TestJobRejectedByWrongHolderCanBeRefused: a first offer that is turned down leaves the job untouched.
+// TestJobRejectedByWrongHolderCanBeRefused: a job whose first and only offer was rejected has
+// not started, so a refusal by the next holder is reported as one.
 func TestJobRejectedByWrongHolderCanBeRefused(t *testing.T) {
 	b := newOriginBed(t)
 	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
@@ -117,19 +120,19 @@
 	assert.Equal(t, time.Second, got[0].RetryAfter)
 }
 
-// TestRequestWaitsForTakeover: a job that has run for a while is not given up the moment
-// its holder falls silent; the next one takes it over.
+// TestRequestWaitsForTakeover: a job that has run for a while is not aborted as soon as its
+// holder becomes unresponsive, because the next holder takes it over.
 func TestRequestWaitsForTakeover(t *testing.T) {
 	b := newOriginBed(t)
 	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 8 * time.Second})
 	assert.Empty(t, answers(b.advance(2*time.Second, 1)))
 	b.now = b.now.Add(b.router.Bounds.PeerTimeout + b.router.Bounds.TickInterval)
-	assert.Empty(t, answers(b.step(Tick{})), "the holder has just fallen silent")
-	assert.NotEmpty(t, offers(b.receiveHeartbeat(2)), "the job is offered under the new claim")
+	assert.Empty(t, answers(b.step(Tick{})), "the holder has just become unresponsive")
+	assert.NotEmpty(t, offers(b.receiveHeartbeat(2)), "the job must be offered under the new claim")
 }
 
-// TestRequestWithoutHolderIsRefused: without a holder, a job that was never offered is refused as not
-// run within the time of a claim.
+// TestRequestWithoutHolderIsRefused: a job that was never offered, because there is no holder,
+// is refused as not run within the time that a claim takes.
 func TestRequestWithoutHolderIsRefused(t *testing.T) {
 	b := &originBed{now: time.Unix(testEpoch, 0)}
 	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
@@ -145,9 +148,9 @@
 	assert.Positive(t, got[0].RetryAfter)
 }
 
-// TestConfigIsSentOnceToOutdatedPeer: a large deployment is not flooded with each new configuration. A
-// host passes it on only to peers that do not read it by themselves, once, and a
-// host that holds nothing never passes the directory on.
+// TestConfigIsSentOnceToOutdatedPeer guards against flooding a large deployment with each new
+// configuration. A host sends it only to peers that have not read it from the store themselves,
+// and only once. A host that holds no cell never sends the directory.
 func TestConfigIsSentOnceToOutdatedPeer(t *testing.T) {
 	b := newOriginBed(t)
 	b.router.adoptConfig(&Config{Version: 7}, "store")
@@ -164,42 +167,42 @@
 		return configs, directories
 	}
 	configs, directories := sent(b.advance(minConfigSendDelay-2*b.router.Bounds.TickInterval, 1))
-	assert.Zero(t, configs, "the peer has had no time to read it")
+	assert.Zero(t, configs, "the peer needs time to read it from the store")
 	more, further := sent(b.advance(configSendStagger+4*b.router.Bounds.TickInterval, 1))
 	assert.Equal(t, 1, more)
 	assert.Zero(t, directories+further)
 }
 
-// TestUnresponsiveHolderAfterStartIsReplaced: a host that has just started does not wait long for the
-// holder that the store names when no other host reaches it either.
+// TestUnresponsiveHolderAfterStartIsReplaced: a host that has just started waits only briefly
+// for the holder that the store names if no other host reaches that holder either.
 func TestUnresponsiveHolderAfterStartIsReplaced(t *testing.T) {
-	for _, held := range []bool{false, true} {
+	for _, peerReachesHolder := range []bool{false, true} {
 		r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 		b := &originBed{router: r, now: time.Unix(testEpoch, 0), peer: Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 3}}
-		gone := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 1}
+		unresponsive := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 1}
 		b.step(Tick{})
-		claim := Claim{Zone: "north", Token: 5 << (slotBits + slotUseBits), Holder: gone}
-		b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{b.peer, gone}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
-		var claimed time.Duration
-		for start := b.now; claimed == 0 && b.now.Sub(start) < time.Second; {
+		claim := Claim{Zone: "north", Token: 5 << (slotBits + slotUseBits), Holder: unresponsive}
+		b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{b.peer, unresponsive}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
+		var claimDelay time.Duration
+		for start := b.now; claimDelay == 0 && b.now.Sub(start) < time.Second; {
 			b.now = b.now.Add(r.Bounds.TickInterval)
-			heartbeat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), ReachesHolder: held}
+			heartbeat := &Heartbeat{Member: b.peer, Sent: b.now.UnixNano(), Echo: b.now.UnixNano(), ReachesHolder: peerReachesHolder}
 			b.step(Receive{From: b.peer.Address, Message: Message{Heartbeat: heartbeat}})
 			if len(effectsOf[WriteClaims](b.step(Tick{}))) > 0 {
-				claimed = b.now.Sub(start)
+				claimDelay = b.now.Sub(start)
 			}
 		}
-		if held {
-			assert.GreaterOrEqual(t, claimed, r.Bounds.PeerTimeout)
+		if peerReachesHolder {
+			assert.GreaterOrEqual(t, claimDelay, r.Bounds.PeerTimeout)
 		} else {
-			assert.LessOrEqual(t, claimed, r.Bounds.PeerTimeout/2+2*r.Bounds.TickInterval)
+			assert.LessOrEqual(t, claimDelay, r.Bounds.PeerTimeout/2+2*r.Bounds.TickInterval)
 		}
-		assert.NotZero(t, claimed)
+		assert.NotZero(t, claimDelay)
 	}
 }
 
-// TestSuspectHolderIsNotOffered: while the holder is quiet, requests are kept, and go to it with
-// its next heartbeat as if they had just come.
+// TestSuspectHolderIsNotOffered: while the holder's heartbeat is overdue, requests are
+// retained. They are offered to it after its next heartbeat, as if they had just arrived.
 func TestSuspectHolderIsNotOffered(t *testing.T) {
 	b := newOriginBed(t)
 	b.now = b.now.Add(2 * b.router.Bounds.HeartbeatInterval)
@@ -211,8 +214,8 @@
 	assert.False(t, list[0].Reoffered)
 }
 
-// TestClaimsAreInFewHeartbeats: claims go with the next heartbeat once they have changed, and
-// now and then.
+// TestClaimsAreInFewHeartbeats: heartbeats contain the claims only after a change and at the
+// interval for unchanged claims.
 func TestClaimsAreInFewHeartbeats(t *testing.T) {
 	b := newOriginBed(t)
 	counts := func(d time.Duration, generation uint64) (withClaims, all int) {
@@ -234,8 +237,8 @@
 	assert.Equal(t, 1, withClaims, "the claim has changed")
 }
 
-// TestCompletionByPreviousHolderIsAccepted: a holder that has completed a job just as another took
-// over is believed, and the other gives the job up.
+// TestCompletionByPreviousHolderIsAccepted: if a holder completes a job while another host
+// takes over, its verdict is accepted and the job is withdrawn from the new holder.
 func TestCompletionByPreviousHolderIsAccepted(t *testing.T) {
 	b := newOriginBed(t)
 	require.Len(t, offers(b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})), 1)
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -8,12 +8,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFairRateSatisfiesSmallDemandsFirst divides what there is so that routes that ask for little get it all.
 func TestFairRateSatisfiesSmallDemandsFirst(t *testing.T) {
 	for _, c := range []struct {
-		asked []float64
-		total float64
-		level float64
+		demands  []float64
+		total    float64
+		fairRate float64
 	}{
 		{[]float64{100, 200, 300}, 600, math.Inf(1)},
 		{[]float64{100, 200, 900}, 600, 300},
@@ -23,19 +22,19 @@
 		{nil, 0, math.Inf(1)},
 	} {
 		r := &Router{Bounds: Standard(), routeShares: make(map[string]*share), now: time.Unix(testEpoch, 0)}
-		for i, asked := range c.asked {
-			r.routeShares[string(rune('a'+i))] = &share{service: "work", demand: asked, demandUpdatedAt: r.now}
+		for i, demand := range c.demands {
+			r.routeShares[string(rune('a'+i))] = &share{service: "work", demand: demand, demandUpdatedAt: r.now}
 		}
 		r.routeShares["other"] = &share{service: "elsewhere", demand: 5000, demandUpdatedAt: r.now}
-		assert.Equal(t, c.level, r.fairRate("work", c.total), c.asked)
+		assert.Equal(t, c.fairRate, r.fairRate("work", c.total), c.demands)
 	}
 }
 
-// TestRouteBeyondFairShareIsPlacedLast: while one route asks for more than its fair share and all together for
-// more than there is, its jobs beyond the share come after those of the others; what
-// was asked for is forgotten.
+// TestRouteBeyondFairShareIsPlacedLast: while the demand of all routes exceeds the capacity and
+// one route exceeds its fair share, the jobs beyond that share are placed after those of other
+// routes. The recorded demand decays afterwards.
 func TestRouteBeyondFairShareIsPlacedLast(t *testing.T) {
-	b := newHolderBed(t, 4, ClaimWon) // 8 cores
+	b := newHolderBed(t, 4, ClaimWon) // 8 cores in all
 	spec := func(id, route string) Job {
 		j := twoTaskJob(id)
 		j.Route, j.Count, j.ExpectedRunTime = route, 1, 400*time.Millisecond
@@ -55,17 +54,18 @@
 		}
 		b.now = b.now.Add(10 * time.Millisecond)
 	}
-	assert.Greater(t, exceeding, 50, "100 jobs of 0.4 core-seconds in a second, of 8 cores")
-	flooding, quiet := newJob("f", "flood"), newJob("q", "quiet")
-	flooding.exceedsShare, quiet.exceedsShare = b.router.exceedsFairShare(flooding, 8000), b.router.exceedsFairShare(quiet, 8000)
+	assert.Greater(t, exceeding, 50, "100 jobs of 0.4 core-seconds arrive in one second at 8 cores")
+	flooding, modest := newJob("f", "flood"), newJob("q", "quiet")
+	flooding.exceedsShare, modest.exceedsShare = b.router.exceedsFairShare(flooding, 8000), b.router.exceedsFairShare(modest, 8000)
 	assert.True(t, flooding.exceedsShare)
-	assert.False(t, quiet.exceedsShare)
-	assert.True(t, b.router.isPlacedBefore(quiet, flooding))
+	assert.False(t, modest.exceedsShare)
+	assert.True(t, b.router.isPlacedBefore(modest, flooding))
 	b.router.now = b.now.Add(10 * demandWindow)
 	assert.False(t, b.router.exceedsFairShare(flooding, 8000))
 }
 
-// TestSharesOfRemovedRoutesAreDropped: what was learned of a route goes with it.
+// TestSharesOfRemovedRoutesAreDropped: when the configuration removes a route, its share and
+// its mean work are dropped, so that state of removed routes does not accumulate.
 func TestSharesOfRemovedRoutesAreDropped(t *testing.T) {
 	b := newHolderBed(t, 4, ClaimWon)
 	for _, route := range []string{"kept", "gone"} {
@@ -81,8 +81,8 @@
 	assert.Len(t, b.router.meanWorkByRoute, 1)
 }
 
-// TestOverloadBackoffGrowsWithOverloadPeriod: a route that has been overloaded for some time is expected to be so for
-// as long again, up to a second.
+// TestOverloadBackoffGrowsWithOverloadPeriod: an overload is expected to last as long as it has
+// lasted already, up to one second.
 func TestOverloadBackoffGrowsWithOverloadPeriod(t *testing.T) {
 	now := time.Unix(testEpoch, 0)
 	s := &share{}
@@ -90,5 +90,5 @@
 	assert.Equal(t, 400*time.Millisecond, s.recordRefusal(now.Add(400*time.Millisecond)))
 	assert.Equal(t, 800*time.Millisecond, s.recordRefusal(now.Add(800*time.Millisecond)))
 	assert.Equal(t, maxOverloadBackoff, s.recordRefusal(now.Add(1200*time.Millisecond)))
-	assert.Zero(t, s.recordRefusal(now.Add(1201*time.Millisecond+overloadGap)), "a new spell")
+	assert.Zero(t, s.recordRefusal(now.Add(1201*time.Millisecond+overloadGap)), "a new overload period begins")
 }
--- a/internal/router/slowdown_test.go
+++ b/internal/router/slowdown_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newModelledBed is a holder with a route whose run times are known: 100 ms.
+// newModelledBed returns a holder with a route model that has enough samples to predict run
+// times.
 func newModelledBed(t *testing.T, targets int) *holderBed {
 	t.Helper()
 	b := newHolderBed(t, targets, ClaimWon)
@@ -15,7 +16,8 @@
 	return b
 }
 
-// recordSlowRuns notes runs at a target that take so many times as long as expected.
+// recordSlowRuns records runs at a target that take factor times as long as the expected 100
+// ms.
 func (b *holderBed) recordSlowRuns(id string, factor float64, runs int) {
 	t := b.router.targets[id]
 	for range runs {
@@ -24,24 +26,26 @@
 	}
 }
 
-// TestSlowTargetIsEjected: a few runs in a row that take several times as long leave a
-// target out, also where each is too short to be far behind.
+// TestSlowTargetIsEjected: two consecutive runs that take several times as long as expected
+// eject a target, even if each run is too short to be far behind in time. Runs that deviate as
+// much as estimates usually do must not eject it.
 func TestSlowTargetIsEjected(t *testing.T) {
 	b := newModelledBed(t, 4)
 	isEjected := func(id string) bool { return b.now.Before(b.router.targets[id].ejectedUntil) }
 	b.recordSlowRuns("p", 4.5, 1)
-	assert.False(t, isEjected("p"), "one run says little")
+	assert.False(t, isEjected("p"), "a single run must not eject the target")
 	b.recordSlowRuns("p", 4.5, 1)
 	assert.True(t, isEjected("p"))
 
-	for range 50 { // as estimates are off
+	for range 50 { // the usual error of estimates
 		b.recordSlowRuns("q", 1.6, 2)
 		b.recordSlowRuns("q", 0.6, 1)
 	}
 	assert.False(t, isEjected("q"))
 }
 
-// TestFailedTrialDoublesEjection: a slow trial leaves the target out again at once, longer.
+// TestFailedTrialDoublesEjection: a slow run in a trial ejects the target again at once, for
+// twice the duration.
 func TestFailedTrialDoublesEjection(t *testing.T) {
 	b := newModelledBed(t, 4)
 	b.recordSlowRuns("p", 4.5, 2)
@@ -52,7 +56,8 @@
 	assert.Equal(t, 2*slowEjectionDuration, p.ejectedUntil.Sub(b.now))
 }
 
-// TestEjectedTargetsAreBounded: where most targets seem slow, what is expected is wrong.
+// TestEjectedTargetsAreBounded: if most targets seem slow, the expected run times are wrong, so
+// only a third of the targets may be ejected.
 func TestEjectedTargetsAreBounded(t *testing.T) {
 	b := newModelledBed(t, 6)
 	ejected := 0
@@ -63,15 +68,16 @@
 	assert.Equal(t, 2, ejected)
 }
 
-// TestTargetsAreNotEjectedWithoutRouteModel: nothing is held against targets before run times are known.
+// TestTargetsAreNotEjectedWithoutRouteModel: slow runs must not count against targets before
+// the route's run times can be predicted.
 func TestTargetsAreNotEjectedWithoutRouteModel(t *testing.T) {
 	b := newHolderBed(t, 3, ClaimWon)
 	b.recordSlowRuns("p", 5, 5)
 	assert.False(t, b.now.Before(b.router.targets["p"].ejectedUntil))
 }
 
-// TestLateEndsDoNotEjectTarget: a holder that lacks processor time sees the ends of all runs late, which
-// says nothing of the targets.
+// TestLateEndsDoNotEjectTarget: a holder that lacks CPU time sees the ends of all runs late,
+// which must not count against the targets.
 func TestLateEndsDoNotEjectTarget(t *testing.T) {
 	b := newModelledBed(t, 4)
 	p := b.router.targets["p"]
@@ -81,15 +87,15 @@
 	assert.False(t, b.now.Before(p.ejectedUntil))
 }
 
-// TestStalledRunsEjectTarget: a run that stands still tells at once that its target is slow, unless
-// targets do not tell any progress.
+// TestStalledRunsEjectTarget: runs without progress show that their target is slow, unless the
+// targets do not report progress at all.
 func TestStalledRunsEjectTarget(t *testing.T) {
-	for _, progressive := range []bool{false, true} {
+	for _, reportsProgress := range []bool{false, true} {
 		b := newModelledBed(t, 4)
-		b.router.targetsReportProgress = progressive
+		b.router.targetsReportProgress = reportsProgress
 		for range 2 {
 			b.router.recordRunningSlowdown(&run{job: &job{spec: twoTaskJob("j")}, target: b.router.targets["p"], expectedRunTime: 100 * time.Millisecond}, 60*time.Millisecond)
 		}
-		assert.Equal(t, progressive, b.now.Before(b.router.targets["p"].ejectedUntil))
+		assert.Equal(t, reportsProgress, b.now.Before(b.router.targets["p"].ejectedUntil))
 	}
 }
--- a/internal/router/timeouts_test.go
+++ b/internal/router/timeouts_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTimeoutStats returns what is learned from timeouts about a mean.
+// newTimeoutStats returns statistics of normally distributed timeouts.
 func newTimeoutStats(mean, deviation time.Duration) *timeoutStats {
 	random := rand.New(rand.NewPCG(1, 1))
 	b := &timeoutStats{}
@@ -18,17 +18,19 @@
 	return b
 }
 
-// TestShortTimeoutsAreRecognised: a timeout that lacks more than clients differ by was used in part.
+// TestShortTimeoutsAreRecognised: a timeout is short if it is further below the mean than
+// clients differ, which means that part of it was used in an earlier try.
 func TestShortTimeoutsAreRecognised(t *testing.T) {
 	similar := newTimeoutStats(2*time.Second, 100*time.Millisecond)
 	assert.True(t, similar.isShort(700*time.Millisecond))
 	assert.False(t, similar.isShort(1900*time.Millisecond))
-	assert.False(t, similar.isShort(1600*time.Millisecond), "less than a client waits before it tries again")
-	assert.False(t, newTimeoutStats(2*time.Second, time.Second).isShort(700*time.Millisecond), "clients differ")
-	assert.False(t, (&timeoutStats{}).isShort(time.Millisecond), "nothing is known")
+	assert.False(t, similar.isShort(1600*time.Millisecond), "the shortfall is less than a client waits before it retries")
+	assert.False(t, newTimeoutStats(2*time.Second, time.Second).isShort(700*time.Millisecond), "timeouts of clients differ this much")
+	assert.False(t, (&timeoutStats{}).isShort(time.Millisecond), "there are no samples")
 }
 
-// TestLastingTimeoutChangeIsLearned: a surge of short timeouts changes little, a lasting change is learned.
+// TestLastingTimeoutChangeIsLearned: a burst of short timeouts must change the statistics only
+// a little, but a lasting change must be learned.
 func TestLastingTimeoutChangeIsLearned(t *testing.T) {
 	b := newTimeoutStats(2*time.Second, 100*time.Millisecond)
 	for range 100 {
@@ -41,8 +43,8 @@
 	assert.False(t, b.isShort(700*time.Millisecond))
 }
 
-// TestRetriesArePlacedLast: a job whose client has waited before starts after one that came
-// later, and starts at once while there is room.
+// TestRetriesArePlacedLast: a retry starts at once while there is capacity. Otherwise it is
+// placed after a new job, even if that arrives later.
 func TestRetriesArePlacedLast(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	b.router.routeModelOf("r").timeouts = *newTimeoutStats(2*time.Second, 100*time.Millisecond)
@@ -54,7 +56,8 @@
 	assert.True(t, b.router.isPlacedBefore(b.router.jobs["new"], b.router.jobs["again"]))
 }
 
-// TestShortTimeoutIsRetryOnlyAfterLoss: while no host was lost, a short timeout is no sign of an earlier try.
+// TestShortTimeoutIsRetryOnlyAfterLoss: a short timeout is a sign of a retry only after the
+// start of this host or the loss of another host.
 func TestShortTimeoutIsRetryOnlyAfterLoss(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	known := *newTimeoutStats(2*time.Second, 100*time.Millisecond)
@@ -63,10 +66,10 @@
 		b.step(Submit{Request: uint64(len(b.router.jobs) + 1), Job: twoTaskJob(id), Budget: 700 * time.Millisecond})
 		return b.router.jobs[id].likelyRetry
 	}
-	assert.True(t, submit("young"), "the host itself has just started")
+	assert.True(t, submit("first"), "this host has just started")
 	b.now = b.now.Add(retryPeriod)
-	assert.False(t, submit("hurry"))
+	assert.False(t, submit("second"))
 	b.receiveHeartbeatFrom("10.0.0.9:1")
 	b.step(PeerExited{Address: "10.0.0.9:1"})
-	assert.True(t, submit("again"))
+	assert.True(t, submit("third"))
 }
