--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,4 +1,4 @@
-// Package limiter bounds how many calls are under way at once.
+// Package limiter limits the number of concurrent calls.
 package limiter
 
 import (
@@ -8,24 +8,24 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Limiter lets so many calls be under way at once; the others wait. Its exported fields are
-// set before use. It is safe for concurrent use.
+// Limiter limits the number of concurrent calls; further calls wait. Its exported fields
+// must be set before use. It is safe for concurrent use.
 type Limiter struct {
 	Clock clockwork.Clock
-	// AtOnce bounds the calls under way.
+	// AtOnce is the maximum number of concurrent calls.
 	AtOnce int
-	// Span is how long a call counts as under way, so that calls that are not answered
-	// make room for others before they end.
+	// Span is the maximum time that a call occupies its slot, so that unanswered calls free
+	// their slots for others before they end.
 	Span time.Duration
 
-	once  sync.Once
-	slots chan struct{}
+	initSlots sync.Once
+	slots     chan struct{}
 }
 
-// Begin waits until a call may begin. The function that it returns ends the call; it may be
-// called more than once.
+// Begin waits for a free slot and occupies it. The returned function frees the slot when
+// the call ends; it may be called more than once.
 func (l *Limiter) Begin() (end func()) {
-	l.once.Do(func() { l.slots = make(chan struct{}, l.AtOnce) })
+	l.initSlots.Do(func() { l.slots = make(chan struct{}, l.AtOnce) })
 	l.slots <- struct{}{}
 	release := sync.OnceFunc(func() { <-l.slots })
 	timer := l.Clock.AfterFunc(l.Span, release)
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -9,53 +9,55 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const span = 50 * time.Millisecond
+const slotTimeout = 50 * time.Millisecond
 
-// TestAtOnce: of many calls no more than the bound are under way at once.
-func TestAtOnce(t *testing.T) {
-	l := &Limiter{Clock: clockwork.NewFakeClock(), AtOnce: 3, Span: span}
+// TestConcurrentCallsAreLimited checks that no more than AtOnce of many calls run at the
+// same time.
+func TestConcurrentCallsAreLimited(t *testing.T) {
+	l := &Limiter{Clock: clockwork.NewFakeClock(), AtOnce: 3, Span: slotTimeout}
 	var mutex sync.Mutex
-	now, most := 0, 0
+	current, peak := 0, 0
 	count := func(change int) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		now += change
-		most = max(most, now)
+		current += change
+		peak = max(peak, current)
 	}
 	var group sync.WaitGroup
-	rounds := make(chan struct{}, l.AtOnce) // lets calls overlap
+	partners := make(chan struct{}, l.AtOnce) // makes calls overlap
 	for range 20 * l.AtOnce {
 		group.Go(func() {
 			defer l.Begin()()
 			count(1)
 			defer count(-1)
 			select {
-			case rounds <- struct{}{}:
-			case <-rounds:
+			case partners <- struct{}{}:
+			case <-partners:
 			}
 		})
 	}
 	group.Wait()
-	assert.LessOrEqual(t, most, l.AtOnce)
+	assert.LessOrEqual(t, peak, l.AtOnce)
 }
 
-// TestSpan: a call that takes long makes room for another one, once.
-func TestSpan(t *testing.T) {
+// TestSlowCallFreesItsSlotOnce checks that a call that takes longer than Span frees its
+// slot, and that its end does not free the slot of another call.
+func TestSlowCallFreesItsSlotOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	l := &Limiter{Clock: clock, AtOnce: 1, Span: span}
-	long := l.Begin()
+	l := &Limiter{Clock: clock, AtOnce: 1, Span: slotTimeout}
+	endFirst := l.Begin()
 	began := make(chan func())
 	go func() { began <- l.Begin() }()
 	select {
 	case <-began:
-		assert.Fail(t, "two calls are under way")
+		assert.Fail(t, "the second call began while the first one occupied the only slot")
 	default:
 	}
-	clock.Advance(span)
-	second := <-began
-	long() // its slot has been given back already
+	clock.Advance(slotTimeout)
+	endSecond := <-began
+	endFirst() // must not free the second call's slot
 	assert.Len(t, l.slots, 1)
-	second()
-	second()
+	endSecond()
+	endSecond()
 	assert.Empty(t, l.slots)
 }
