--- a/internal/transitioner/machine.go
+++ b/internal/transitioner/machine.go
@@ -1,6 +1,6 @@
-// Package transitioner compiles looplab/fsm definitions into tables that many
-// small objects share. A machine of its own for each task would cost more than
-// the task's other state; see BenchmarkMachine.
+// Package transitioner compiles looplab/fsm definitions into read-only transition
+// tables that many objects share. A separate fsm.FSM per task would cost more than the
+// rest of the task's state; see BenchmarkMachine.
 package transitioner
 
 import (
@@ -10,44 +10,44 @@
 	"github.com/looplab/fsm"
 )
 
-// step is a state and an event that may follow it.
-type step[S, E ~string] struct {
+// transition is a state and an event that may happen in it.
+type transition[S, E ~string] struct {
 	state S
 	event E
 }
 
 // Machine is a read-only transition table. It is safe for concurrent use.
 type Machine[S, E ~string] struct {
-	next map[step[S, E]]S
+	next map[transition[S, E]]S
 }
 
-// Rule is one event that leads from any of the sources to the target state.
+// Rule defines the transitions of an event from each of the source states to the target
+// state.
 type Rule[S, E ~string] struct {
 	Event  E
 	Source []S
 	Target S
 }
 
-// Compile builds an fsm.FSM from the rules, fires every event in every state
-// and keeps what it answered.
+// Compile builds an fsm.FSM from the rules, fires each event in each of its source states
+// and records the resulting states. It panics if the FSM rejects a transition.
 func Compile[S, E ~string](initial S, rules ...Rule[S, E]) *Machine[S, E] {
-	machine := Build(initial, rules...)
-	m := &Machine[S, E]{next: make(map[step[S, E]]S)}
+	live := Build(initial, rules...)
+	compiled := &Machine[S, E]{next: make(map[transition[S, E]]S)}
 	for _, r := range rules {
 		for _, source := range r.Source {
-			machine.SetState(string(source))
-			err := machine.Event(context.Background(), string(r.Event))
-			if _, same := err.(fsm.NoTransitionError); err != nil && !same {
+			live.SetState(string(source))
+			err := live.Event(context.Background(), string(r.Event))
+			if _, unchanged := err.(fsm.NoTransitionError); err != nil && !unchanged {
 				panic(fmt.Sprintf("transitioner: %s in %s: %v", r.Event, source, err))
 			}
-			m.next[step[S, E]{source, r.Event}] = S(machine.Current())
+			compiled.next[transition[S, E]{source, r.Event}] = S(live.Current())
 		}
 	}
-	return m
+	return compiled
 }
 
-// Build returns a live fsm.FSM of the rules, for an object that has a machine
-// of its own.
+// Build returns an fsm.FSM with the rules, for an object that has its own state machine.
 func Build[S, E ~string](initial S, rules ...Rule[S, E]) *fsm.FSM {
 	events := make(fsm.Events, 0, len(rules))
 	for _, r := range rules {
@@ -60,9 +60,9 @@
 	return fsm.NewFSM(string(initial), events, fsm.Callbacks{})
 }
 
-// Next returns the state after the event. It reports false when the event may
-// not happen in the state.
+// Next returns the state after the event. It reports false if the event is not allowed in
+// the state.
 func (m *Machine[S, E]) Next(state S, event E) (S, bool) {
-	next, ok := m.next[step[S, E]{state, event}]
+	next, ok := m.next[transition[S, E]{state, event}]
 	return next, ok
 }
--- a/internal/transitioner/machine_test.go
+++ b/internal/transitioner/machine_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-var rules = []Rule[string, string]{
+var testRules = []Rule[string, string]{
 	{Event: "send", Source: []string{"queued"}, Target: "sent"},
 	{Event: "return", Source: []string{"sent"}, Target: "queued"},
 	{Event: "finish", Source: []string{"sent", "done"}, Target: "done"},
 }
 
-func TestMachine(t *testing.T) {
-	m := Compile("queued", rules...)
+func TestNextFollowsRules(t *testing.T) {
+	m := Compile("queued", testRules...)
 	next, ok := m.Next("queued", "send")
 	assert.True(t, ok)
 	assert.Equal(t, "sent", next)
@@ -25,11 +25,11 @@
 	assert.False(t, ok)
 }
 
-// BenchmarkMachine compares a shared table with a live machine, one made for
-// each task and one shared.
+// BenchmarkMachine compares a shared transition table with a shared fsm.FSM and with an
+// fsm.FSM per object.
 func BenchmarkMachine(b *testing.B) {
 	b.Run("table", func(b *testing.B) {
-		m := Compile("queued", rules...)
+		m := Compile("queued", testRules...)
 		b.ReportAllocs()
 		for b.Loop() {
 			state, _ := m.Next("queued", "send")
@@ -37,7 +37,7 @@
 		}
 	})
 	b.Run("shared", func(b *testing.B) {
-		m := Build("queued", rules...)
+		m := Build("queued", testRules...)
 		b.ReportAllocs()
 		for b.Loop() {
 			m.SetState("queued")
@@ -48,7 +48,7 @@
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m := Build("queued", rules...)
+			m := Build("queued", testRules...)
 			_ = m.Event(context.Background(), "send")
 			_ = m.Event(context.Background(), "finish")
 		}
