--- a/internal/holder/heap.go
+++ b/internal/holder/heap.go
@@ -2,91 +2,94 @@
 
 import "container/heap"
 
-// Item is an element that remembers its place in a Heap.
+// Item is an element of a Heap that stores its own index.
 type Item interface {
 	comparable
 	// Place returns the index that SetPlace stored.
 	Place() int
-	// SetPlace stores the index; -1 means outside the heap.
+	// SetPlace stores the index; the heap sets -1 when it removes the item.
 	SetPlace(index int)
 }
 
-// Heap is a priority queue whose items can be moved and removed in O(log n).
+// Heap is a priority queue whose items can be reordered and removed in O(log n).
 // Less must be set before use. It is not safe for concurrent use.
 type Heap[T Item] struct {
-	// Less orders the items; the least is at the top.
+	// Less reports whether a comes before b. The least item is at the top.
 	Less func(a, b T) bool
 
-	items sorter[T]
+	queue itemHeap[T]
 }
 
 // Len returns the number of items.
-func (h *Heap[T]) Len() int { return len(h.items.list) }
+func (h *Heap[T]) Len() int { return len(h.queue.items) }
 
-// Push adds an item that is not in the heap.
+// Push adds an item, which must not be in a heap already.
 func (h *Heap[T]) Push(item T) {
-	h.items.less = h.Less
-	heap.Push(&h.items, item)
+	h.queue.less = h.Less
+	heap.Push(&h.queue, item)
 }
 
 // Top returns the least item without removing it. It panics on an empty heap.
-func (h *Heap[T]) Top() T { return h.items.list[0] }
+func (h *Heap[T]) Top() T { return h.queue.items[0] }
 
 // Pop removes and returns the least item. It panics on an empty heap.
-func (h *Heap[T]) Pop() T { return heap.Pop(&h.items).(T) }
+func (h *Heap[T]) Pop() T { return heap.Pop(&h.queue).(T) }
 
-// Fix restores the order after the item's key changed.
-func (h *Heap[T]) Fix(item T) { heap.Fix(&h.items, item.Place()) }
+// Fix restores the heap order after the item's priority changed. The item must be in the
+// heap.
+func (h *Heap[T]) Fix(item T) { heap.Fix(&h.queue, item.Place()) }
 
-// Remove takes the item out; an item outside the heap is left alone.
+// Remove removes the item. It does nothing if the item is not in the heap.
 func (h *Heap[T]) Remove(item T) {
 	if h.Has(item) {
-		heap.Remove(&h.items, item.Place())
+		heap.Remove(&h.queue, item.Place())
 	}
 }
 
 // Has reports whether the item is in this heap.
 func (h *Heap[T]) Has(item T) bool {
 	i := item.Place()
-	return i >= 0 && i < len(h.items.list) && h.items.list[i] == item
+	return i >= 0 && i < len(h.queue.items) && h.queue.items[i] == item
 }
 
-// Items returns the items in no order. The slice must not be changed.
-func (h *Heap[T]) Items() []T { return h.items.list }
+// Items returns the items in heap order, which is not sorted. The caller must not modify
+// the slice.
+func (h *Heap[T]) Items() []T { return h.queue.items }
 
-// sorter adapts the items to container/heap.
-type sorter[T Item] struct {
-	list []T
-	less func(a, b T) bool
+// itemHeap implements heap.Interface.
+type itemHeap[T Item] struct {
+	items []T
+	less  func(a, b T) bool
 }
 
-func (s *sorter[T]) Len() int           { return len(s.list) }
-func (s *sorter[T]) Less(i, j int) bool { return s.less(s.list[i], s.list[j]) }
+func (h *itemHeap[T]) Len() int           { return len(h.items) }
+func (h *itemHeap[T]) Less(i, j int) bool { return h.less(h.items[i], h.items[j]) }
 
-func (s *sorter[T]) Swap(i, j int) {
-	s.list[i], s.list[j] = s.list[j], s.list[i]
-	s.list[i].SetPlace(i)
-	s.list[j].SetPlace(j)
+func (h *itemHeap[T]) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	h.items[i].SetPlace(i)
+	h.items[j].SetPlace(j)
 }
 
-func (s *sorter[T]) Push(x any) {
+func (h *itemHeap[T]) Push(x any) {
 	item := x.(T)
-	item.SetPlace(len(s.list))
-	s.list = append(s.list, item)
+	item.SetPlace(len(h.items))
+	h.items = append(h.items, item)
 }
 
-func (s *sorter[T]) Pop() any {
-	last := len(s.list) - 1
-	item := s.list[last]
+func (h *itemHeap[T]) Pop() any {
+	last := len(h.items) - 1
+	item := h.items[last]
 	var zero T
-	s.list[last] = zero
-	s.list = s.list[:last]
+	h.items[last] = zero
+	h.items = h.items[:last]
 	item.SetPlace(-1)
 	return item
 }
 
-// Index is embedded in an item to satisfy Item. Its zero value says place 0, so
-// Has also compares the item itself.
+// Index implements the methods of Item and is embedded in items. The zero value holds
+// index 0 although the item is in no heap, so Heap.Has also compares the item at the
+// index.
 type Index struct{ index int }
 
 // Place returns the stored index.
--- a/internal/holder/set.go
+++ b/internal/holder/set.go
@@ -1,4 +1,4 @@
-// Package holder has the small generic containers of the dispatcher.
+// Package holder provides generic containers.
 package holder
 
 import (
@@ -7,12 +7,11 @@
 	"slices"
 )
 
-// Set is a set of comparable values. The zero value is an empty set that can be
-// read; use NewSet or Add on a made set to write. It is not safe for concurrent
-// use.
+// Set is a set of ordered values. The zero value is an empty read-only set; use NewSet to
+// create a set that values can be added to. It is not safe for concurrent use.
 type Set[T cmp.Ordered] map[T]struct{}
 
-// NewSet returns a set of the given values.
+// NewSet returns a set that contains the given values.
 func NewSet[T cmp.Ordered](values ...T) Set[T] {
 	s := make(Set[T], len(values))
 	for _, v := range values {
@@ -21,7 +20,7 @@
 	return s
 }
 
-// Add puts a value into the set.
+// Add adds a value to the set. It panics on the zero value of Set.
 func (s Set[T]) Add(v T) { s[v] = struct{}{} }
 
 // Has reports whether the value is in the set.
