--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -1,5 +1,5 @@
-// Package estimator learns the run times of tasks by kind, since declared run
-// times are often far off.
+// Package estimator learns the run times of tasks by kind, because declared run times
+// are often far off.
 package estimator
 
 import (
@@ -10,134 +10,139 @@
 )
 
 const (
-	// maxKinds bounds the kinds that are told apart.
+	// maxKinds is the maximum number of kinds with their own statistics.
 	maxKinds = 512
-	// overflow is the kind that stands for all further ones.
-	overflow = "\x00other"
-	// priorSamples is the weight of a declared run time against measured ones.
-	priorSamples = 3
-	// meanWindow is the number of samples over which the mean forgets.
-	meanWindow = 200
-	// window is the number of samples after which the histogram starts anew.
-	window = 4000
-	// refresh is the number of samples between two readings of the histogram.
-	refresh = 50
-	// trusted is the number of samples before the histogram tells anything; the
-	// first tasks to end are the short ones.
-	trusted = 400
-	// levels is the number of levels of surprise. The part of the tasks that
-	// reaches level k is exp(-k).
-	levels = 7
-	// shortest and longest bound the recorded run times in milliseconds.
-	shortest = 1
-	longest  = 3_600_000
+	// otherKinds is the key of the shared statistics of all further kinds.
+	otherKinds = "\x00other"
+	// declaredWeight is the weight of a declared run time in the mean, as a number of
+	// measured samples.
+	declaredWeight = 3
+	// meanSamples is the time constant of the moving average, in samples.
+	meanSamples = 200
+	// histogramSamples is the number of samples after which the histogram is reset.
+	histogramSamples = 4000
+	// updateInterval is the number of samples between two updates of the thresholds. A
+	// mean of at least as many samples ignores the declared run time.
+	updateInterval = 50
+	// minSamples is the number of samples that the thresholds require. Fewer samples are
+	// biased towards short run times because short tasks end first.
+	minSamples = 400
+	// maxLevel is the highest level of Surprise. The fraction of tasks that reach level
+	// k is exp(-k).
+	maxLevel = 7
+	// minRunTimeMillis and maxRunTimeMillis limit the recorded run times.
+	minRunTimeMillis = 1
+	maxRunTimeMillis = 3_600_000
 )
 
-// standard is the run time assumed when nothing is declared or learned.
-const standard = 300 * time.Millisecond
+// defaultRunTime is the expected run time if none is declared or learned.
+const defaultRunTime = 300 * time.Millisecond
 
-// Estimator holds what was learned of each kind. It is not safe for concurrent
-// use. The zero value is ready.
+// Estimator holds run time statistics by kind of task. The zero value is ready to use. It
+// is not safe for concurrent use.
 type Estimator struct {
 	kinds map[string]*kind
 }
 
 type kind struct {
-	count int
-	mean  float64 // seconds
-	hist  *hdrhistogram.Histogram
-	// steps holds the run times that reach each level, as far as known.
-	steps []time.Duration
+	samples     int
+	meanSeconds float64
+	histogram   *hdrhistogram.Histogram
+	// thresholds holds the run time above which each level of Surprise is reached, from
+	// level 1 up to the highest known level.
+	thresholds []time.Duration
 }
 
-// Learn records one measured run time of a kind.
+// Learn records a measured run time of a kind.
 func (e *Estimator) Learn(name string, elapsed time.Duration) {
-	k := e.find(name)
+	k := e.kindOf(name)
 	if k == nil {
-		k = e.add(name)
+		k = e.addKind(name)
 	}
-	k.count++
-	k.mean += (elapsed.Seconds() - k.mean) / float64(min(k.count, meanWindow))
-	millis := min(max(elapsed.Milliseconds(), shortest), longest)
-	if err := k.hist.RecordValue(millis); err != nil {
+	k.samples++
+	k.meanSeconds += (elapsed.Seconds() - k.meanSeconds) / float64(min(k.samples, meanSamples))
+	millis := min(max(elapsed.Milliseconds(), minRunTimeMillis), maxRunTimeMillis)
+	if err := k.histogram.RecordValue(millis); err != nil {
 		return
 	}
-	if k.count%refresh == 0 {
-		k.read()
+	if k.samples%updateInterval == 0 {
+		k.updateThresholds()
 	}
-	if k.hist.TotalCount() >= window {
-		k.hist.Reset()
+	if k.histogram.TotalCount() >= histogramSamples {
+		k.histogram.Reset()
 	}
 }
 
-// read takes the levels that the histogram's samples can tell apart. After a
-// reset the old levels stay until as many are known again.
-func (k *kind) read() {
+// updateThresholds updates the thresholds of the levels for which the histogram has enough
+// samples. After a reset the old thresholds stay until as many levels are known again.
+func (k *kind) updateThresholds() {
 	const percent = 100
-	known := min(levels, int(math.Log(float64(k.hist.TotalCount()))))
-	if k.count < trusted || known < len(k.steps) {
+	known := min(maxLevel, int(math.Log(float64(k.histogram.TotalCount()))))
+	if k.samples < minSamples || known < len(k.thresholds) {
 		return
 	}
-	k.steps = k.steps[:0]
+	k.thresholds = k.thresholds[:0]
 	for level := 1; level <= known; level++ {
 		quantile := percent * (1 - math.Exp(-float64(level)))
-		k.steps = append(k.steps, time.Duration(k.hist.ValueAtQuantile(quantile))*time.Millisecond)
+		k.thresholds = append(k.thresholds, time.Duration(k.histogram.ValueAtQuantile(quantile))*time.Millisecond)
 	}
 }
 
-// Surprise tells how unusual it is for a task of the kind to run for so long or
-// longer: the part of the tasks that does is about exp(-surprise). It is 0 while
-// too little is known.
+// Surprise returns how unusual it is for a task of the kind to run for at least the
+// elapsed time, as a level: about exp(-level) of the tasks do. It returns 0 while there
+// are too few samples.
 func (e *Estimator) Surprise(name string, elapsed time.Duration) int {
-	k := e.find(name)
+	k := e.kindOf(name)
 	if k == nil {
 		return 0
 	}
 	level := 0
-	for level < len(k.steps) && elapsed > k.steps[level]+grain {
+	for level < len(k.thresholds) && elapsed > k.thresholds[level]+histogramTolerance {
 		level++
 	}
 	return level
 }
 
-// grain absorbs the histogram's resolution for short run times.
-const grain = 10 * time.Millisecond
+// histogramTolerance compensates for the histogram's limited resolution at short run
+// times.
+const histogramTolerance = 10 * time.Millisecond
 
-// Mean returns the expected run time of a kind, given what its submission
-// declared; zero means that nothing was declared.
+// Mean returns the expected run time of a kind: the learned mean, combined with the
+// declared run time while there are few samples. A declared time of 0 means that none was
+// declared.
 func (e *Estimator) Mean(name string, declared time.Duration) time.Duration {
 	if declared <= 0 {
-		declared = standard
+		declared = defaultRunTime
 	}
-	k := e.find(name)
+	k := e.kindOf(name)
 	if k == nil {
 		return declared
 	}
-	if k.count >= refresh {
-		return seconds(k.mean)
+	if k.samples >= updateInterval {
+		return secondsToDuration(k.meanSeconds)
 	}
-	n := float64(k.count)
-	return seconds((k.mean*n + declared.Seconds()*priorSamples) / (n + priorSamples))
+	samples := float64(k.samples)
+	return secondsToDuration((k.meanSeconds*samples + declared.Seconds()*declaredWeight) / (samples + declaredWeight))
 }
 
-func (e *Estimator) find(name string) *kind {
+func (e *Estimator) kindOf(name string) *kind {
 	k := e.kinds[name]
 	if k == nil && len(e.kinds) >= maxKinds {
-		k = e.kinds[overflow]
+		k = e.kinds[otherKinds]
 	}
 	return k
 }
 
-func (e *Estimator) add(name string) *kind {
+func (e *Estimator) addKind(name string) *kind {
 	if e.kinds == nil {
 		e.kinds = make(map[string]*kind)
 	}
 	if len(e.kinds) >= maxKinds {
-		name = overflow
+		name = otherKinds
 	}
-	k := &kind{hist: hdrhistogram.New(shortest, longest, 1)}
+	k := &kind{histogram: hdrhistogram.New(minRunTimeMillis, maxRunTimeMillis, 1)}
 	e.kinds[name] = k
 	return k
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
