--- a/internal/clocker/boot.go
+++ b/internal/clocker/boot.go
@@ -1,4 +1,4 @@
-// Package clocker has the clock of a host that may be suspended.
+// Package clocker provides a clock for hosts that may be suspended.
 package clocker
 
 import (
@@ -8,37 +8,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a clock that never goes back and also counts the time in which the
-// host was suspended, unlike the steady clock. It starts at the time of day.
-// Timers and tickers are those of the embedded clock.
+// Boot is a monotonic clock that, unlike Go's monotonic clock, also advances while the host
+// is suspended. It starts at the wall-clock time of its creation. Timers and tickers come
+// from the embedded clock.
 type Boot struct {
 	clockwork.Clock
 
-	base   time.Time
-	booted time.Duration
+	createdAt        time.Time
+	createdSinceBoot time.Duration
 }
 
-// NewBoot returns a Boot that takes its timers from the given clock.
+// NewBoot returns a Boot that uses the given clock for timers and tickers.
 func NewBoot(clock clockwork.Clock) *Boot {
-	return &Boot{Clock: clock, base: time.Unix(0, time.Now().UnixNano()), booted: sinceBoot()}
+	return &Boot{Clock: clock, createdAt: time.Unix(0, time.Now().UnixNano()), createdSinceBoot: sinceBoot()}
 }
 
-// Now returns the time since the clock was made, suspensions included, counted
-// from the time of day of that moment.
-func (b *Boot) Now() time.Time { return b.base.Add(sinceBoot() - b.booted) }
+// Now returns the wall-clock time at which the clock was created plus the time that has
+// passed since then, including suspensions.
+func (b *Boot) Now() time.Time { return b.createdAt.Add(sinceBoot() - b.createdSinceBoot) }
 
-// Since returns the time that has passed since t.
+// Since returns the time elapsed since t, including suspensions.
 func (b *Boot) Since(t time.Time) time.Duration { return b.Now().Sub(t) }
 
-// Until returns the time that is left until t.
+// Until returns the duration until t.
 func (b *Boot) Until(t time.Time) time.Duration { return t.Sub(b.Now()) }
 
-// sinceBoot reads the kernel's clock that runs on through suspensions. Reading
-// a clock that every Linux kernel has does not fail.
+// sinceBoot returns the time since the kernel booted, including suspensions. The read
+// does not fail because every Linux kernel has CLOCK_BOOTTIME.
 func sinceBoot() time.Duration {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
-		panic("clocker: the kernel has no boot-time clock: " + err.Error())
+		panic("clocker: cannot read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(spec.Nano())
 }
