--- a/internal/explainer/cause.go
+++ b/internal/explainer/cause.go
@@ -2,116 +2,117 @@
 
 import "fmt"
 
-// judge finds the cause of the outcome.
-func (s *Story) judge() {
-	answer, ok := s.find("answer")
+// explainOutcome sets the outcome, its cause and the evidence.
+func (s *Story) explainOutcome() {
+	answer, ok := s.lastLine("answer")
 	if !ok {
 		s.Outcome = "open"
-		s.Cause = "no host has logged an answer: the host of the client was lost before, or its log is missing"
-		s.show("drain", "halt", "peer")
+		s.Cause = "no host has logged an answer: the host that received the job ended before it answered, or its log is missing"
+		s.addRelatedEvidence("drain", "halt", "peer")
 		return
 	}
 	s.Outcome, s.Reason = answer.text("outcome"), answer.text("reason")
 	switch s.Outcome {
 	case "complete":
-		s.judgeComplete(answer)
+		s.explainComplete(answer)
 	case "refused":
-		s.judgeRefused(answer)
+		s.explainRefused(answer)
 	case "unknown":
-		s.judgeUnknown()
+		s.explainUnknown()
 	default:
-		s.judgeFailed()
+		s.explainFailed()
 	}
 }
 
-// judgeRefused explains a job of which nothing has run.
-func (s *Story) judgeRefused(answer Line) {
-	refusal, ok := s.find("refuse")
+// explainRefused explains a job of which no task has run.
+func (s *Story) explainRefused(answer Line) {
+	refusal, ok := s.lastLine("refuse")
 	if !ok {
-		refusal, ok = s.find("verdict")
+		refusal, ok = s.lastLine("verdict")
 	}
 	switch {
 	case s.Reason == "unheld":
 		s.Cause = "no host held the zone's targets while the job could wait"
-		s.show("holder", "claim", "claimed")
+		s.addRelatedEvidence("holder", "claim", "claimed")
 	case ok:
-		s.Cause = fmt.Sprintf("the work before it would have made it late: it could wait %s, and was told to come back after %s; %s jobs were queued",
+		s.Cause = fmt.Sprintf("the queue would have made the job late: it could wait %s, and the client was told to retry after %s; %s jobs were queued",
 			refusal.text("slack"), answer.text("after"), refusal.text("queued"))
 		if refusal.text("excess") == "true" {
-			s.Cause += "; its route asked for more than its fair share"
+			s.Cause += "; its route exceeded its fair share"
 		}
 		s.Evidence = append(s.Evidence, refusal.String())
-		s.show("target")
+		s.addRelatedEvidence("target")
 	default:
-		s.Cause = "it was refused by its own host"
+		s.Cause = "the host that received the job refused it"
 	}
 }
 
-// judgeUnknown explains a job that may have run.
-func (s *Story) judgeUnknown() {
+// explainUnknown explains a job that may have run.
+func (s *Story) explainUnknown() {
 	switch {
 	case s.Reason == "stopping":
 		s.Cause = "its host shut down before the job ended"
 	case s.Reason == "unheld":
-		s.Cause = "its holder was lost and no other host took the zone's targets in time"
+		s.Cause = "its holder was lost and no other host took over the zone's targets in time"
 	default:
-		s.Cause = "its holder was lost; the next one did not find it running and could not start it anew before its time was over"
+		s.Cause = "its holder was lost; the next holder did not find the job running and could not start it again in time"
 	}
-	s.show("holder", "peer", "drain")
+	s.addRelatedEvidence("holder", "peer", "drain")
 }
 
-// judgeFailed explains a job that ended without its work being done.
-func (s *Story) judgeFailed() {
+// explainFailed explains a job that ended before its work was done.
+func (s *Story) explainFailed() {
 	switch s.Reason {
 	case "withdrawn":
 		s.Cause = "its client cancelled it or closed the connection"
 	case "exhausted":
 		s.Cause = "a task failed as often as its route allows"
-		s.showEnds("failed")
+		s.addEndEvidence("failed")
 	case "misfit":
 		s.Cause = "a task needs more than any target of the service has"
 	default:
-		s.judgeExpired()
+		s.explainExpired()
 	}
 }
 
-// judgeExpired explains a job that was given up after tasks of it had started.
-func (s *Story) judgeExpired() {
-	if l, ok := s.find("foresee"); ok {
+// explainExpired explains a job that was aborted after some of its tasks had started.
+func (s *Story) explainExpired() {
+	if l, ok := s.lastLine("foresee"); ok {
 		s.Cause = fmt.Sprintf("the progress of %s showed that it would take %s, longer than the client waits", l.text("task"), l.text("total"))
 		s.Evidence = append(s.Evidence, l.String())
 		return
 	}
-	s.Cause = "its time ran out after tasks of it had started"
-	s.showEnds("lapsed", "failed", "stopped")
-	s.show("target", "holder")
+	s.Cause = "its time ran out after some of its tasks had started"
+	s.addEndEvidence("lapsed", "failed", "stopped")
+	s.addRelatedEvidence("target", "holder")
 }
 
-// judgeComplete explains an answer that may have come late.
-func (s *Story) judgeComplete(answer Line) {
+// explainComplete explains the response time of a completed job, which may be late.
+func (s *Story) explainComplete(answer Line) {
 	s.Cause = "it was completed after " + answer.text("spent")
-	moved := false
+	wasMoved := false
 	for _, l := range s.Lines {
 		if l.Action == "move" || l.Action == "takeover" {
-			moved = true
+			wasMoved = true
 			s.Evidence = append(s.Evidence, l.String())
 		}
 	}
-	if s.showEnds("lapsed", "failed", "stopped") || moved {
+	if s.addEndEvidence("lapsed", "failed", "stopped") || wasMoved {
 		s.Cause += "; tasks had to be started again"
-		s.show("target", "holder")
-	} else if l, ok := s.find("place"); ok && l.text("waited") != "0s" {
-		s.Cause += "; its last task waited " + l.text("waited") + " for room"
+		s.addRelatedEvidence("target", "holder")
+	} else if l, ok := s.lastLine("place"); ok && l.text("waited") != "0s" {
+		s.Cause += "; its last task waited " + l.text("waited") + " for capacity"
 		s.Evidence = append(s.Evidence, l.String())
 	}
 }
 
-// showEnds names the runs that ended in one of the ways.
-func (s *Story) showEnds(ways ...string) bool {
+// addEndEvidence adds the lines of runs that ended for one of the reasons, and reports whether
+// there are any.
+func (s *Story) addEndEvidence(reasons ...string) bool {
 	found := false
 	for _, l := range s.Lines {
-		for _, how := range ways {
-			if l.Action == "end" && l.text("how") == how {
+		for _, reason := range reasons {
+			if l.Action == "end" && l.text("how") == reason {
 				s.Evidence = append(s.Evidence, l.String())
 				found = true
 			}
@@ -120,16 +121,16 @@
 	return found
 }
 
-// mostEvidence bounds the changes that are named as evidence; all are printed
-// below the story.
-const mostEvidence = 5
+// maxRelatedEvidence bounds the lines that each call of addRelatedEvidence adds. Story.Write
+// prints all related lines below.
+const maxRelatedEvidence = 5
 
-// show names changes around the job.
-func (s *Story) show(actions ...string) {
+// addRelatedEvidence adds related lines with one of the actions as evidence.
+func (s *Story) addRelatedEvidence(actions ...string) {
 	count := 0
 	for _, l := range s.Around {
 		for _, action := range actions {
-			if l.Action == action && count < mostEvidence {
+			if l.Action == action && count < maxRelatedEvidence {
 				s.Evidence = append(s.Evidence, l.String())
 				count++
 			}
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -1,4 +1,4 @@
-// Package explainer tells the story of one job from the logs of several hosts.
+// Package explainer reconstructs what happened to a job from the logs of several hosts.
 package explainer
 
 import (
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// maxLine bounds a log line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
 	Time time.Time `json:"time"`
 	Host string    `json:"host"`
-	// Action is the decision or the change of state.
+	// Action is the name of the decision or the change of state.
 	Action string         `json:"msg"`
 	Fields map[string]any `json:"-"`
 }
 
-// text returns a field as text, or "".
+// text returns the text of a field, or "" if the line does not have it.
 func (l Line) text(key string) string {
 	if value, ok := l.Fields[key]; ok {
 		return fmt.Sprint(value)
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// String returns the line for a reader.
+// String returns the line in readable form: time, host, action and the other fields.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-22s %-9s", l.Time.Format("15:04:05.000"), l.Host, l.Action)
@@ -45,42 +45,42 @@
 	return b.String()
 }
 
-// Story is what the logs say of a job.
+// Story is the explanation of a job's outcome from the logs.
 type Story struct {
 	Job string `json:"job"`
-	// Lines are those of the job, oldest first.
+	// Lines are the lines of the job, oldest first.
 	Lines []Line `json:"-"`
-	// Around are changes of holders, peers, targets and the store that touched
-	// it while it was open.
+	// Around lists the changes of holders, peers, targets and the store that may have
+	// affected the job while it was open.
 	Around  []Line `json:"-"`
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason,omitempty"`
-	// Cause says in a sentence why the job ended so, and Evidence names the
+	// Cause is a sentence that gives the reason for the outcome, and Evidence lists the
 	// lines that show it.
 	Cause    string   `json:"cause"`
 	Evidence []string `json:"evidence,omitempty"`
-	// Skipped counts lines that could not be read, and Omitted those that hosts
-	// left out under a flood.
+	// Skipped counts the lines that could not be parsed, and Omitted the lines that hosts
+	// left out to limit the rate of their logs.
 	Skipped int `json:"skipped,omitempty"`
 	Omitted int `json:"omitted,omitempty"`
 }
 
-// margin is how long before and after a job changes of state may matter: the time
-// after which a silent host or target is noticed.
-const margin = 1500 * time.Millisecond
+// timeMargin is the time before and after a job in which changes of state may affect it. It
+// covers the time until an unresponsive host or target is detected.
+const timeMargin = 1500 * time.Millisecond
 
-// Reader collects lines from several logs. Its zero value is ready.
+// Reader collects lines from several logs. Its zero value is ready for use.
 type Reader struct {
 	lines   []Line
 	skipped int
 	omitted int
 }
 
-// Read takes a log. Text before the JSON of a line is passed over, so that logs
-// with a prefix can be read as well.
+// Read adds the lines of a log. It ignores text before the JSON of a line, so that logs with
+// a prefix per line can be read. An error comes from the log.
 func (r *Reader) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, text, ok := strings.Cut(scanner.Text(), "{")
 		if !ok {
@@ -102,53 +102,54 @@
 	return scanner.Err()
 }
 
-// Explain tells the story of a job; false means that no line names it.
+// Explain returns the explanation of a job, or false if no line names the job.
 func (r *Reader) Explain(job string) (*Story, bool) {
 	s := &Story{Job: job, Skipped: r.skipped, Omitted: r.omitted}
 	slices.SortStableFunc(r.lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
-	touched := make(map[string]bool)
+	involved := make(map[string]bool)
 	for _, l := range r.lines {
 		if l.text("job") != job && !strings.HasPrefix(l.text("task"), job+".") {
 			continue
 		}
 		s.Lines = append(s.Lines, l)
 		for _, key := range []string{"target", "holder"} {
-			touched[l.text(key)] = true
+			involved[l.text(key)] = true
 		}
-		touched[l.Host] = true
+		involved[l.Host] = true
 	}
 	if len(s.Lines) == 0 {
 		return s, false
 	}
-	delete(touched, "")
-	first, last := s.Lines[0].Time.Add(-margin), s.end().Add(margin)
+	delete(involved, "")
+	from, until := s.Lines[0].Time.Add(-timeMargin), s.endTime().Add(timeMargin)
 	for _, l := range r.lines {
-		if l.Time.Before(first) || l.Time.After(last) || !changes[l.Action] {
+		if l.Time.Before(from) || l.Time.After(until) || !stateChanges[l.Action] {
 			continue
 		}
-		if touched[l.text("target")] || touched[l.text("peer")] || touched[l.text("holder")] || touched[l.text("before")] || touched[l.Host] && l.text("target") == "" {
+		if involved[l.text("target")] || involved[l.text("peer")] || involved[l.text("holder")] || involved[l.text("before")] || involved[l.Host] && l.text("target") == "" {
 			s.Around = append(s.Around, l)
 		}
 	}
-	s.judge()
+	s.explainOutcome()
 	return s, true
 }
 
-// changes are the actions that change what hosts believe.
-var changes = map[string]bool{
+// stateChanges are the actions that record a change in a host's view of the holders, peers,
+// targets, store or configuration, or the host's shutdown.
+var stateChanges = map[string]bool{
 	"holder": true, "claim": true, "claimed": true, "peer": true, "target": true, "store": true, "drain": true, "halt": true, "configure": true,
 }
 
-// end returns the time of the job's answer, or of its last line.
-func (s *Story) end() time.Time {
-	if l, ok := s.find("answer"); ok {
+// endTime returns the time of the job's answer, or of its last line if there is none.
+func (s *Story) endTime() time.Time {
+	if l, ok := s.lastLine("answer"); ok {
 		return l.Time
 	}
 	return s.Lines[len(s.Lines)-1].Time
 }
 
-// find returns the job's last line of an action.
-func (s *Story) find(action string) (Line, bool) {
+// lastLine returns the last line of the job with an action.
+func (s *Story) lastLine(action string) (Line, bool) {
 	for _, l := range slices.Backward(s.Lines) {
 		if l.Action == action {
 			return l, true
@@ -157,7 +158,7 @@
 	return Line{}, false
 }
 
-// Write prints the story.
+// Write prints the explanation, its evidence and all lines.
 func (s *Story) Write(w io.Writer) error {
 	fmt.Fprintf(w, "job %s: %s %s\ncause: %s\n", s.Job, s.Outcome, s.Reason, s.Cause)
 	for _, e := range s.Evidence {
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// read reads the log of a played day, of which the page for operators shows lines.
-func read(t *testing.T) *Reader {
+// readDay reads the log of a simulated day. The operations page shows lines of it.
+func readDay(t *testing.T) *Reader {
 	t.Helper()
 	file, err := os.Open("testdata/day.log")
 	require.NoError(t, err)
@@ -20,15 +20,15 @@
 	return r
 }
 
-func TestExplain(t *testing.T) {
+func TestCauseAndEvidenceOfOutcome(t *testing.T) {
 	for _, c := range []struct{ name, job, outcome, reason, cause, evidence string }{
-		{"refused at the door", "188ad26e8ac4bdd7", "refused", "overload", "it could wait 143ms", "refuse"},
+		{"refused on arrival", "188ad26e8ac4bdd7", "refused", "overload", "it could wait 143ms", "refuse"},
 		{"answered late", "7fabd05e1c9b87bf", "complete", "", "tasks had to be started again", "how=failed"},
 		{"holder lost", "1354758d976ae520", "unknown", "expired", "its holder was lost", "state=silent"},
-		{"given up after its start", "b541bff1b030c847", "failed", "expired", "its time ran out", "holder"},
+		{"aborted after its start", "b541bff1b030c847", "failed", "expired", "its time ran out", "holder"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story, found := read(t).Explain(c.job)
+			story, found := readDay(t).Explain(c.job)
 			require.True(t, found)
 			assert.Equal(t, c.outcome, story.Outcome)
 			assert.Equal(t, c.reason, story.Reason)
@@ -41,13 +41,14 @@
 	}
 }
 
-func TestUnknownJob(t *testing.T) {
-	_, found := read(t).Explain("0000000000000000")
+func TestUnknownJobIsNotFound(t *testing.T) {
+	_, found := readDay(t).Explain("0000000000000000")
 	assert.False(t, found)
 }
 
-// TestUnreadable: lines that are no JSON are counted, and a prefix is passed over.
-func TestUnreadable(t *testing.T) {
+// TestInvalidLinesAreCounted checks that lines with invalid JSON are counted, and that a prefix
+// before the JSON is ignored.
+func TestInvalidLinesAreCounted(t *testing.T) {
 	r := &Reader{}
 	require.NoError(t, r.Read(strings.NewReader("host-1 | {\"time\":\"2026-01-01T00:00:00Z\",\"msg\":\"answer\",\"job\":\"j\",\"outcome\":\"failed\",\"reason\":\"misfit\"}\n{broken\nplain\n")))
 	story, found := r.Explain("j")
@@ -56,8 +57,9 @@
 	assert.Contains(t, story.Cause, "more than any target")
 }
 
-// TestExcess: a refusal of a route beyond its fair share is told as such.
-func TestExcess(t *testing.T) {
+// TestCauseNamesExceededFairShare checks that the cause of a refusal says when the route
+// exceeded its fair share.
+func TestCauseNamesExceededFairShare(t *testing.T) {
 	r := &Reader{}
 	require.NoError(t, r.Read(strings.NewReader(`{"time":"2026-01-01T00:00:00Z","msg":"refuse","job":"j","slack":"9ms","queued":7,"excess":true,"reason":"overload"}
 {"time":"2026-01-01T00:00:00.001Z","msg":"answer","job":"j","outcome":"refused","reason":"overload","after":"100ms"}
