--- a/internal/inspector/finding.go
+++ b/internal/inspector/finding.go
@@ -11,92 +11,93 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// staleAfter is the age of the holder's list of targets from which leaving targets may
-// be used for longer than the 2 s that their operators grant.
-const staleAfter = 2 * time.Second
+// maxDirectoryAge is the age of a holder's directory above which the holder may use leaving
+// targets for longer than the 2 s that their operators allow.
+const maxDirectoryAge = 2 * time.Second
 
-// Findings tells in sentences what is wrong by what the hosts believe; there are none
-// when all is well.
+// Findings returns a sentence for each fault that the states of the hosts show, or none if
+// there is no fault.
 func Findings(sights []Sight) []string {
-	var list []string
+	var findings []string
 	var states []*router.State
 	for _, s := range sights {
 		if s.State == nil {
-			list = append(list, fmt.Sprintf("%s does not answer: %s", s.Address, s.Problem))
+			findings = append(findings, fmt.Sprintf("%s does not answer: %s", s.Address, s.Problem))
 			continue
 		}
 		states = append(states, s.State)
-		list = append(list, oneHost(s.State)...)
+		findings = append(findings, hostFindings(s.State)...)
 	}
-	list = append(list, differ("configuration", states, func(s *router.State) map[string]string {
+	findings = append(findings, disagreements("configuration", states, func(s *router.State) map[string]string {
 		return map[string]string{"": "version " + strconv.FormatUint(s.Config, 10)}
 	})...)
-	return append(list, differ("holder", states, holders)...)
+	return append(findings, disagreements("holder", states, reachableHolders)...)
 }
 
-// oneHost tells what is wrong at one host.
-func oneHost(s *router.State) []string {
-	var list []string
-	note := func(format string, args ...any) { list = append(list, s.Host+" "+fmt.Sprintf(format, args...)) }
+// hostFindings returns the faults that the state of one host shows.
+func hostFindings(s *router.State) []string {
+	var findings []string
+	add := func(format string, args ...any) { findings = append(findings, s.Host+" "+fmt.Sprintf(format, args...)) }
 	if s.Slot == 0 {
-		note("is not registered in the store yet")
+		add("is not registered in the store yet")
 	}
 	if s.Config == 0 {
-		note("has no configuration")
+		add("has no configuration")
 	}
 	for _, p := range s.Peers {
 		if !p.Reachable && !p.Leaving {
-			note("does not reach %s", p.Host)
+			add("does not reach %s", p.Host)
 		}
 	}
-	holds := false
+	isHolder := false
 	for _, c := range s.Cells {
-		holds = holds || c.Holder == s.Host && c.Reachable
+		isHolder = isHolder || c.Holder == s.Host && c.Reachable
 		if !c.Reachable {
-			note("has had no holder for zone %s for %v", c.Zone, c.Absent.Round(time.Millisecond))
+			add("has had no holder for zone %s for %v", c.Zone, c.Absent.Round(time.Millisecond))
 		}
 	}
-	if holds && s.DirectoryAge < 0 {
-		note("holds targets by a list of another host and has never read it; look at the store")
+	if isHolder && s.DirectoryAge < 0 {
+		add("uses the directory of another host for the targets that it holds, and has never read it itself; check the store")
 	}
-	if holds && s.DirectoryAge > staleAfter {
-		note("holds targets by a list that it has not read for %v; look at the store", s.DirectoryAge.Round(time.Millisecond))
+	if isHolder && s.DirectoryAge > maxDirectoryAge {
+		add("has not read the directory of the targets that it holds for %v; check the store", s.DirectoryAge.Round(time.Millisecond))
 	}
-	return list
+	return findings
 }
 
-// holders returns the holder of each zone by a host.
-func holders(s *router.State) map[string]string {
-	list := make(map[string]string)
+// reachableHolders returns the reachable holder of each zone in the state of a host.
+func reachableHolders(s *router.State) map[string]string {
+	holders := make(map[string]string)
 	for _, c := range s.Cells {
 		if c.Reachable {
-			list["of zone "+c.Zone] = c.Holder
+			holders["of zone "+c.Zone] = c.Holder
 		}
 	}
-	return list
+	return holders
 }
 
-// differ tells in what the hosts do not agree.
-func differ(what string, states []*router.State, values func(*router.State) map[string]string) []string {
-	said := make(map[string]map[string][]string) // hosts, by key and value
+// disagreements returns a sentence for each key for which the states of the hosts have
+// different values.
+func disagreements(subject string, states []*router.State, values func(*router.State) map[string]string) []string {
+	hosts := make(map[string]map[string][]string) // hosts, by key and value
 	for _, s := range states {
 		for key, value := range values(s) {
-			if said[key] == nil {
-				said[key] = make(map[string][]string)
+			if hosts[key] == nil {
+				hosts[key] = make(map[string][]string)
 			}
-			said[key][value] = append(said[key][value], s.Host)
+			hosts[key][value] = append(hosts[key][value], s.Host)
 		}
 	}
-	var list []string
-	for _, key := range slices.Sorted(maps.Keys(said)) {
-		if len(said[key]) < 2 {
+	var findings []string
+	for _, key := range slices.Sorted(maps.Keys(hosts)) {
+		if len(hosts[key]) < 2 {
 			continue
 		}
 		var parts []string
-		for _, value := range slices.Sorted(maps.Keys(said[key])) {
-			parts = append(parts, fmt.Sprintf("%s at %s", value, strings.Join(said[key][value], ", ")))
+		for _, value := range slices.Sorted(maps.Keys(hosts[key])) {
+			parts = append(parts, fmt.Sprintf("%s at %s", value, strings.Join(hosts[key][value], ", ")))
 		}
-		list = append(list, strings.TrimSpace(fmt.Sprintf("hosts do not agree on the %s %s", what, key))+": "+strings.Join(parts, "; "))
+		findings = append(findings, strings.TrimSpace(fmt.Sprintf("hosts do not agree on the %s %s", subject, key))+": "+strings.Join(parts, "; "))
 	}
-	return list
+	return findings
 }
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -1,5 +1,5 @@
-// Package inspector asks entry hosts that hold leased targets what they believe, and
-// compares it.
+// Package inspector requests the states of entry hosts that hold leased targets, and compares
+// them.
 package inspector
 
 import (
@@ -12,39 +12,39 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Path is where a host tells its state, on the address of its links and of its metrics.
+// Path is the HTTP path of a host's state, at the addresses of its links and its metrics.
 const Path = "/state"
 
-// Inspector asks hosts. Its fields are set before use.
+// Inspector requests the states of hosts. Its fields are set before use.
 type Inspector struct {
-	// Hosts are the addresses of the hosts' links or metrics, such as 10.0.0.1:7102.
+	// Hosts are the addresses of the hosts' links or metrics, for example 10.0.0.1:7102.
 	Hosts []string
-	// HTTP makes the requests.
+	// HTTP is the client for the requests.
 	HTTP *http.Client
 }
 
-// Sight is what one host believes, or why that is not known.
+// Sight is the state of one host, or the problem that prevented its request.
 type Sight struct {
 	Address string        `json:"address"`
 	State   *router.State `json:"state,omitempty"`
 	Problem string        `json:"problem,omitempty"`
 }
 
-// Look asks all hosts at once.
+// Look requests the states of all hosts in parallel and returns them in the order of Hosts.
 func (i *Inspector) Look(ctx context.Context) []Sight {
-	return asker.Asker[Sight](i.see).All(ctx, i.Hosts)
+	return asker.Asker[Sight](i.inspect).All(ctx, i.Hosts)
 }
 
-// see asks one host.
-func (i *Inspector) see(ctx context.Context, host string) Sight {
-	state, err := i.ask(ctx, host)
+// inspect requests the state of one host.
+func (i *Inspector) inspect(ctx context.Context, host string) Sight {
+	state, err := i.fetch(ctx, host)
 	if err != nil {
 		return Sight{Address: host, Problem: err.Error()}
 	}
 	return Sight{Address: host, State: state}
 }
 
-func (i *Inspector) ask(ctx context.Context, host string) (*router.State, error) {
+func (i *Inspector) fetch(ctx context.Context, host string) (*router.State, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+Path, nil)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("the host answered %s; name the address of its links or metrics", response.Status)
+		return nil, fmt.Errorf("the host answered %s; use the address of its links or metrics", response.Status)
 	}
 	state := &router.State{}
 	return state, json.NewDecoder(response.Body).Decode(state)
