--- a/internal/asker/asker.go
+++ b/internal/asker/asker.go
@@ -1,4 +1,4 @@
-// Package asker asks many addresses the same at once.
+// Package asker sends the same query to many addresses in parallel.
 package asker
 
 import (
@@ -6,26 +6,26 @@
 	"sync"
 )
 
-// Asker asks one address. The address stands in the answer, if need be.
+// Asker queries one address. The answer contains the address if the caller needs it.
 type Asker[T any] func(ctx context.Context, address string) T
 
-// All asks all addresses at once and returns the answers in their order.
+// All queries all addresses in parallel and returns the answers in the order of the addresses.
 func (a Asker[T]) All(ctx context.Context, addresses []string) []T {
 	answers := make([]T, len(addresses))
 	var group sync.WaitGroup
 	for i, address := range addresses {
-		q := &question[T]{ask: a, address: address, answer: &answers[i]}
+		q := &query[T]{ask: a, address: address, answer: &answers[i]}
 		group.Go(func() { q.run(ctx) })
 	}
 	group.Wait()
 	return answers
 }
 
-// question is what one address is asked.
-type question[T any] struct {
+// query is the query to one address.
+type query[T any] struct {
 	ask     Asker[T]
 	address string
 	answer  *T
 }
 
-func (q *question[T]) run(ctx context.Context) { *q.answer = q.ask(ctx, q.address) }
+func (q *query[T]) run(ctx context.Context) { *q.answer = q.ask(ctx, q.address) }
--- a/internal/asker/asker_test.go
+++ b/internal/asker/asker_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestAll: all addresses are asked at once, and the answers keep their order.
-func TestAll(t *testing.T) {
+// TestAllQueriesInParallel checks that all addresses are queried in parallel, and that the
+// answers keep the order of the addresses.
+func TestAllQueriesInParallel(t *testing.T) {
 	both := make(chan string)
 	ask := Asker[string](func(_ context.Context, address string) string {
 		if address == "a" {
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -1,4 +1,4 @@
-// Package logger writes the log, and bounds how many lines a second it writes.
+// Package logger writes the log and limits its lines per second.
 package logger
 
 import (
@@ -11,37 +11,37 @@
 	"golang.org/x/time/rate"
 )
 
-// New returns a logger that writes JSON lines with levels up to verbosity.
+// New returns a logger that writes JSON lines up to a verbosity level.
 func New(w io.Writer, verbosity int) logr.Logger {
 	options := &slog.HandlerOptions{Level: slog.Level(-verbosity)}
 	return logr.FromSlogHandler(slog.NewJSONHandler(w, options))
 }
 
-// Throttle bounds decision lines under a flood. It is safe for concurrent use.
+// Throttle limits the rate of decision lines. It is safe for concurrent use.
 type Throttle struct {
-	// Log is where the lines go.
+	// Log receives the lines.
 	Log logr.Logger
-	// Limit bounds the lines.
+	// Limit is the rate limit of the lines.
 	Limit *rate.Limiter
-	// Observe is told of each line that is left out. It may be nil.
+	// Observe is called for each line that is left out. It may be nil.
 	Observe func()
 
-	left atomic.Int64
+	omitted atomic.Int64
 }
 
-// NewThrottle returns a Throttle that lets through so many lines a second.
+// NewThrottle returns a Throttle that writes up to a number of lines per second.
 func NewThrottle(log logr.Logger, lines int) *Throttle {
 	return &Throttle{Log: log, Limit: rate.NewLimiter(rate.Limit(lines), lines)}
 }
 
-// reserve is the part of the lines that routine ones leave to the others: refusals and
-// failures are what is asked about. The other half of the usual 3,000 lines a second is
-// about what all hosts together write on a heavy day (92,441 lines in 60 s).
-const reserve = 0.5
+// infoShare is the share of the rate limit that is reserved for Info, since refusals and
+// failures are the lines that operators need most. The other half of the default 3,000 lines
+// per second is about what all hosts together write on a heavy day (92,441 lines in 60 s).
+const infoShare = 0.5
 
-// Routine writes a line as Info does, but leaves part of the lines to Info.
+// Routine writes a line as Info does, unless the rest of the rate limit is reserved for Info.
 func (t *Throttle) Routine(now time.Time, message string, pairs ...any) {
-	if t.Limit.TokensAt(now) < reserve*float64(t.Limit.Burst()) {
+	if t.Limit.TokensAt(now) < infoShare*float64(t.Limit.Burst()) {
 		t.omit()
 		return
 	}
@@ -49,20 +49,20 @@
 }
 
 func (t *Throttle) omit() {
-	t.left.Add(1)
+	t.omitted.Add(1)
 	if t.Observe != nil {
 		t.Observe()
 	}
 }
 
-// Info writes a line, or counts it as left out. The next line that is written
-// tells how many were left out before it.
+// Info writes a line, or counts it as left out when the rate limit is reached. Before the next
+// line it logs the number of lines that were left out.
 func (t *Throttle) Info(now time.Time, message string, pairs ...any) {
 	if !t.Limit.AllowN(now, 1) {
 		t.omit()
 		return
 	}
-	if n := t.left.Swap(0); n > 0 {
+	if n := t.omitted.Swap(0); n > 0 {
 		t.Log.Info("lines left out", "count", n)
 	}
 	t.Log.Info(message, pairs...)
--- a/internal/logger/logger_test.go
+++ b/internal/logger/logger_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestThrottle requires that a flood of lines is bounded and that the log tells
-// how many were left out.
-func TestThrottle(t *testing.T) {
+// TestThrottleLimitsRate checks that the rate of lines is limited, and that the log contains the
+// number of lines that were left out.
+func TestThrottleLimitsRate(t *testing.T) {
 	var out bytes.Buffer
 	omitted := 0
 	x := NewThrottle(New(&out, 0), 10)
@@ -28,8 +28,9 @@
 	assert.Contains(t, out.String(), `"msg":"lines left out","count":990`)
 }
 
-// TestRoutineLinesGoFirst: under a flood of routine lines the others are written.
-func TestRoutineLinesGoFirst(t *testing.T) {
+// TestRoutineLinesAreOmittedFirst checks that all other lines are written when the rate of
+// routine lines exceeds the limit.
+func TestRoutineLinesAreOmittedFirst(t *testing.T) {
 	var out bytes.Buffer
 	x := NewThrottle(New(&out, 0), 10)
 	now := time.Unix(1000, 0)
@@ -40,13 +41,13 @@
 			x.Info(now, "refuse")
 		}
 	}
-	assert.Equal(t, 10, strings.Count(out.String(), `"msg":"refuse"`), "none is left out")
+	assert.Equal(t, 10, strings.Count(out.String(), `"msg":"refuse"`), "no refusal is left out")
 	routine := strings.Count(out.String(), `"msg":"place"`)
 	assert.Greater(t, routine, 30)
-	assert.LessOrEqual(t, routine, 55, "the limit holds for all together")
+	assert.LessOrEqual(t, routine, 55, "the limit applies to all lines together")
 }
 
-// BenchmarkDecision is the cost of a line of the usual length.
+// BenchmarkDecision measures the cost of a decision line of typical length.
 func BenchmarkDecision(b *testing.B) {
 	x := NewThrottle(New(io.Discard, 0).WithValues("host", "north-1"), math.MaxInt32)
 	now := time.Unix(1000, 0)
--- a/internal/logger/queue.go
+++ b/internal/logger/queue.go
@@ -7,36 +7,35 @@
 	"sync/atomic"
 )
 
-// Queue is a writer that never blocks: it keeps what its output does not take at
-// once, up to a bound, and leaves out whole writes beyond. It is safe for
-// concurrent use.
+// Queue is a writer that never blocks. It buffers writes up to a number of bytes and drops
+// whole writes that exceed it. It is safe for concurrent use.
 type Queue struct {
-	// Output is where the bytes go.
+	// Output receives the bytes.
 	Output io.Writer
-	// Bound is how many bytes may wait.
+	// Bound is the maximum number of buffered bytes.
 	Bound int
-	// Observe is told of each write that is left out. It may be nil.
+	// Observe is called for each write that is dropped. It may be nil.
 	Observe func()
 
-	mutex   sync.Mutex
-	waiting []byte
-	wake    chan struct{}
-	left    atomic.Int64
+	mutex    sync.Mutex
+	buffered []byte
+	wake     chan struct{}
+	dropped  atomic.Int64
 }
 
-// Init makes the Queue ready; it comes before Write and Run.
+// Init prepares the Queue. It must be called before Write and Run.
 func (q *Queue) Init() { q.wake = make(chan struct{}, 1) }
 
-// Write keeps the bytes for the output. It always reports success.
+// Write buffers the bytes for the output. It always reports success.
 func (q *Queue) Write(data []byte) (int, error) {
 	q.mutex.Lock()
-	fits := len(q.waiting)+len(data) <= q.Bound
+	fits := len(q.buffered)+len(data) <= q.Bound
 	if fits {
-		q.waiting = append(q.waiting, data...)
+		q.buffered = append(q.buffered, data...)
 	}
 	q.mutex.Unlock()
 	if !fits {
-		q.left.Add(1)
+		q.dropped.Add(1)
 		if q.Observe != nil {
 			q.Observe()
 		}
@@ -48,10 +47,10 @@
 	return len(data), nil
 }
 
-// Left returns how many writes were left out.
-func (q *Queue) Left() int64 { return q.left.Load() }
+// Left returns the number of dropped writes.
+func (q *Queue) Left() int64 { return q.dropped.Load() }
 
-// Run writes until the context is done, and then once more.
+// Run writes buffered bytes to the output until the context is done, and then a last time.
 func (q *Queue) Run(ctx context.Context) {
 	for {
 		select {
@@ -64,12 +63,12 @@
 	}
 }
 
-// Flush writes what waits. A failing output loses it: there is no other place
-// to tell of that.
+// Flush writes the buffered bytes to the output. They are lost if the output fails; the error
+// is ignored because there is no other place to report it.
 func (q *Queue) Flush() {
 	q.mutex.Lock()
-	data := q.waiting
-	q.waiting = nil
+	data := q.buffered
+	q.buffered = nil
 	q.mutex.Unlock()
 	if len(data) > 0 {
 		_, _ = q.Output.Write(data)
--- a/internal/meter/host.go
+++ b/internal/meter/host.go
@@ -9,62 +9,62 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Host holds the metrics of an entry host on a platform of leased targets. It is
-// safe for concurrent use.
+// Host holds the metrics of an entry host on a platform of leased targets. It is safe for
+// concurrent use.
 type Host struct {
-	// Registry is what /metrics shows.
+	// Registry holds the metrics that /metrics shows.
 	Registry *prometheus.Registry
 
-	Answers    *prometheus.CounterVec   // final answers to clients by outcome and reason
-	Response   *prometheus.HistogramVec // seconds from arrival to the answer by route and outcome
-	Stages     *prometheus.HistogramVec // seconds of a stage of a job's way by route and stage
-	Decisions  *prometheus.CounterVec   // decisions by action
-	Orders     *prometheus.CounterVec   // answers of targets by order and result
-	OrderTime  *prometheus.HistogramVec // seconds an order took, by order
-	Messages   *prometheus.CounterVec   // messages between hosts by direction and kind
-	Bytes      *prometheus.CounterVec   // their bytes
-	StoreCalls *prometheus.CounterVec   // calls to the store by call and result
-	Violations *prometheus.CounterVec   // broken invariants
+	Answers    *prometheus.CounterVec   // final answers to clients, by outcome and reason
+	Response   *prometheus.HistogramVec // seconds from arrival to the answer, by route and outcome
+	Stages     *prometheus.HistogramVec // seconds that a job spends in a stage, by route and stage
+	Decisions  *prometheus.CounterVec   // decisions of the router, by action
+	Orders     *prometheus.CounterVec   // answers of targets to orders, by order and result
+	OrderTime  *prometheus.HistogramVec // seconds from an order to its answer, by order
+	Messages   *prometheus.CounterVec   // messages between hosts, by direction and kind
+	Bytes      *prometheus.CounterVec   // encoded bytes of messages, by direction and kind
+	StoreCalls *prometheus.CounterVec   // calls to the store, by call and result
+	Violations *prometheus.CounterVec   // violations of invariants, by invariant
 	Omitted    prometheus.Counter       // log lines left out
-	Steps      prometheus.Histogram     // seconds a step of the router
+	Steps      prometheus.Histogram     // seconds per step of the router
 
 	Waiting   prometheus.Gauge // waiting tasks of the held cells
 	Running   prometheus.Gauge // runs at targets of the held cells
-	Open      prometheus.Gauge // open requests of clients
+	Open      prometheus.Gauge // jobs of this host's clients without an answer
 	Held      prometheus.Gauge // held cells
-	Members   prometheus.Gauge // hosts in touch, this one included
-	Version   prometheus.Gauge // configuration version in force
-	Directory prometheus.Gauge // seconds since this host read the list of targets
-	Margin    prometheus.Gauge // least seconds until a lease with runs lapses
+	Members   prometheus.Gauge // reachable hosts, including this one
+	Version   prometheus.Gauge // version of the current configuration
+	Directory prometheus.Gauge // seconds since this host read the directory
+	Margin    prometheus.Gauge // shortest time until a lease with runs expires, in seconds
 }
 
-// NewHost returns a Host with a registry of its own.
+// NewHost returns a Host with its own registry.
 func NewHost() *Host {
 	h := &Host{
 		Registry:   prometheus.NewRegistry(),
 		Answers:    counters("answers_total", "Final answers to clients.", "outcome", "reason"),
 		Response:   histograms("answer_seconds", "Time from a job's arrival to its answer.", "route", "outcome"),
-		Stages:     histograms("stage_seconds", "Time of a stage of a job's way.", "route", "stage"),
+		Stages:     histograms("stage_seconds", "Time that a job spends in a stage.", "route", "stage"),
 		Decisions:  counters("decisions_total", "Decisions of the router.", "action"),
 		Orders:     counters("orders_total", "Answers of targets to orders.", "order", "result"),
-		OrderTime:  histograms("order_seconds", "Time of an order to a target.", "order"),
+		OrderTime:  histograms("order_seconds", "Time from an order to the answer of the target.", "order"),
 		Messages:   counters("link_messages_total", "Messages between entry hosts.", "direction", "kind"),
 		Bytes:      counters("link_bytes_total", "Encoded bytes of messages between entry hosts.", "direction", "kind"),
 		StoreCalls: counters("store_calls_total", "Calls to the platform's store.", "call", "result"),
-		Violations: counters("violations_total", "Broken invariants; any is a defect.", "invariant"),
-		Omitted:    counter("log_lines_omitted_total", "Log lines left out under a flood."),
-		Waiting:    gauge("waiting_tasks", "Tasks of the held cells that wait for room."),
+		Violations: counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
+		Omitted:    counter("log_lines_omitted_total", "Log lines left out to limit the log rate."),
+		Waiting:    gauge("waiting_tasks", "Tasks of the held cells that wait for capacity."),
 		Running:    gauge("running_tasks", "Runs at the targets of the held cells."),
 		Open:       gauge("open_jobs", "Jobs of this host's clients without an answer."),
 		Held:       gauge("held_cells", "Availability zones whose targets this host holds."),
-		Members:    gauge("members", "Entry hosts in touch, this one included."),
-		Version:    gauge("config_version", "Version of the configuration in force."),
-		Directory:  gauge("directory_age_seconds", "Time since this host read the list of targets."),
-		Margin:     gauge("lease_margin_seconds", "Least time until a lease that something runs under lapses."),
+		Members:    gauge("members", "Reachable entry hosts, including this one."),
+		Version:    gauge("config_version", "Version of the current configuration."),
+		Directory:  gauge("directory_age_seconds", "Time since this host read the directory of targets."),
+		Margin:     gauge("lease_margin_seconds", "Shortest time until a lease with runs expires."),
 	}
 	h.Steps = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "step_seconds", Help: "Time of one step of the router.",
-		Buckets: prometheus.ExponentialBuckets(firstStep, 4, buckets),
+		Buckets: prometheus.ExponentialBuckets(firstStepSeconds, 4, bucketCount),
 	})
 	h.Registry.MustRegister(
 		h.Answers, h.Response, h.Stages, h.Decisions, h.Orders, h.OrderTime, h.Messages, h.Bytes, h.StoreCalls, h.Violations, h.Omitted, h.Steps,
@@ -76,11 +76,11 @@
 
 func histograms(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
-		Namespace: namespace, Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(firstBucket, 2, buckets),
+		Namespace: namespace, Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, 2, bucketCount),
 	}, labels)
 }
 
-// Show sets the gauges.
+// Show sets the gauges from the state of the router.
 func (h *Host) Show(v router.View) {
 	h.Waiting.Set(float64(v.Waiting))
 	h.Running.Set(float64(v.Running))
@@ -94,10 +94,10 @@
 	}
 }
 
-// Order counts the answer to an order and how long it took.
-func (h *Host) Order(order, result string, took time.Duration) {
+// Order counts the answer to an order and records its duration.
+func (h *Host) Order(order, result string, duration time.Duration) {
 	h.Orders.WithLabelValues(order, result).Inc()
-	h.OrderTime.WithLabelValues(order).Observe(took.Seconds())
+	h.OrderTime.WithLabelValues(order).Observe(duration.Seconds())
 }
 
 // Link counts a message to or from another host and its encoded bytes.
--- a/internal/meter/host_test.go
+++ b/internal/meter/host_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMetricsAreExplained: the operators' page tells of every metric of a host.
-func TestMetricsAreExplained(t *testing.T) {
+// TestOperationsPageDescribesMetrics checks that the operations page describes every metric of
+// a host.
+func TestOperationsPageDescribesMetrics(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
 	described := make(chan *prometheus.Desc, 1000)
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what the daemon does, for Prometheus.
+// Package meter defines the Prometheus metrics of the daemon and of entry hosts.
 package meter
 
 import (
@@ -10,51 +10,51 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Meter holds the metrics of one daemon. It is safe for concurrent use.
+// Meter holds the metrics of a daemon. It is safe for concurrent use.
 type Meter struct {
-	// Registry is what /metrics shows.
+	// Registry holds the metrics that /metrics shows.
 	Registry *prometheus.Registry
 
-	Jobs       *prometheus.CounterVec   // final answers by client, outcome and reason
+	Jobs       *prometheus.CounterVec   // final answers, by client, outcome and reason
 	Response   *prometheus.HistogramVec // seconds from admission to the answer, by outcome
 	Starts     prometheus.Counter       // tasks sent to targets
-	Ends       *prometheus.CounterVec   // ends of starts by result
-	Messages   *prometheus.CounterVec   // control messages by cause
-	Bytes      prometheus.Counter       // bytes of reports sent
-	Polls      *prometheus.CounterVec   // reads of the platform by result
-	Violations *prometheus.CounterVec   // broken invariants
+	Ends       *prometheus.CounterVec   // ends of starts, by result
+	Messages   *prometheus.CounterVec   // control messages, by cause
+	Bytes      prometheus.Counter       // bytes of reports sent to peers
+	Polls      *prometheus.CounterVec   // reads of the platform, by result
+	Violations *prometheus.CounterVec   // violations of invariants, by invariant
 	Omitted    prometheus.Counter       // log lines left out
 	Waiting    prometheus.Gauge         // waiting tasks
 	Open       prometheus.Gauge         // jobs without an answer
-	Version    prometheus.Gauge         // configuration version in force
-	Age        prometheus.Gauge         // seconds since the platform was last read
-	Steps      prometheus.Histogram     // seconds a step of the scheduler
+	Version    prometheus.Gauge         // version of the current configuration
+	Age        prometheus.Gauge         // seconds since the last read of the platform, or -1 before the first read
+	Steps      prometheus.Histogram     // seconds per step of the scheduler
 }
 
-// New returns a Meter with a registry of its own.
+// New returns a Meter with its own registry.
 func New() *Meter {
 	m := &Meter{
 		Registry:   prometheus.NewRegistry(),
 		Jobs:       counters("jobs_total", "Final answers.", "client", "outcome", "reason"),
 		Starts:     counter("starts_total", "Tasks sent to targets."),
 		Ends:       counters("ends_total", "Ends of starts by result.", "result"),
-		Messages:   counters("control_messages_total", "Messages beyond one request and one answer a task.", "cause"),
+		Messages:   counters("control_messages_total", "Control messages beyond one request and one answer per task.", "cause"),
 		Bytes:      counter("report_bytes_total", "Bytes of reports sent to peers."),
 		Polls:      counters("polls_total", "Reads of the platform.", "result"),
-		Violations: counters("violations_total", "Broken invariants; any is a defect.", "invariant"),
-		Omitted:    counter("log_lines_omitted_total", "Decision lines left out under a flood."),
+		Violations: counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
+		Omitted:    counter("log_lines_omitted_total", "Decision lines left out to limit the log rate."),
 		Waiting:    gauge("waiting_tasks", "Tasks that wait for a slot."),
 		Open:       gauge("open_jobs", "Jobs without a final answer."),
-		Version:    gauge("config_version", "Version of the configuration in force."),
-		Age:        gauge("platform_age_seconds", "Time since the platform was last read; -1 before."),
+		Version:    gauge("config_version", "Version of the current configuration."),
+		Age:        gauge("platform_age_seconds", "Time since the last read of the platform; -1 before the first read."),
 	}
 	m.Response = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "response_seconds", Help: "Time from admission to the answer.",
-		Buckets: prometheus.ExponentialBuckets(firstBucket, 2, buckets),
+		Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, 2, bucketCount),
 	}, []string{"outcome"})
 	m.Steps = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "step_seconds", Help: "Time of one step of the scheduler.",
-		Buckets: prometheus.ExponentialBuckets(firstStep, 4, buckets),
+		Buckets: prometheus.ExponentialBuckets(firstStepSeconds, 4, bucketCount),
 	})
 	m.Registry.MustRegister(
 		m.Jobs, m.Response, m.Starts, m.Ends, m.Messages, m.Bytes, m.Polls, m.Violations, m.Omitted,
@@ -65,10 +65,10 @@
 }
 
 const (
-	namespace   = "shallotrouter"
-	firstBucket = 0.01 // seconds
-	firstStep   = 1e-6 // seconds
-	buckets     = 12
+	namespace          = "shallotrouter"
+	firstBucketSeconds = 0.01
+	firstStepSeconds   = 1e-6
+	bucketCount        = 12
 )
 
 func counter(name, help string) prometheus.Counter {
@@ -99,7 +99,8 @@
 	}
 }
 
-// Finish counts the end of one start.
+// Finish counts the end of a start. If the task was not started, its request and answer count
+// as two control messages.
 func (m *Meter) Finish(result scheduler.Result) {
 	m.Ends.WithLabelValues(string(result)).Inc()
 	if !result.Started() {
@@ -107,13 +108,14 @@
 	}
 }
 
-// Report counts one message to a peer.
+// Report counts a report to a peer and its bytes.
 func (m *Meter) Report(bytes int) {
 	m.Messages.WithLabelValues("report").Inc()
 	m.Bytes.Add(float64(bytes))
 }
 
-// Poll counts one poll of the platform, which reads the row and the host list.
+// Poll counts a poll of the platform, which consists of four messages: it reads the row and the
+// host list.
 func (m *Meter) Poll(failed bool) {
 	m.Messages.WithLabelValues("poll").Add(4)
 	result := "ok"
