--- a/internal/modeler/chaos_test.go
+++ b/internal/modeler/chaos_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	worlds    = flag.Int("worlds", 30, "how many random worlds TestWorlds plays")
-	firstSeed = flag.Uint64("first", 1, "the seed of the first one")
+	worldCount = flag.Int("worlds", 30, "number of random simulations to run")
+	firstSeed  = flag.Uint64("first", 1, "seed of the first random simulation")
 )
 
-// troubles are what random worlds draw from.
-var troubles = []Fault{
+// randomFaults are the faults that randomWorld draws from.
+var randomFaults = []Fault{
 	{Trouble: Kill, Where: "holder"},
 	{Trouble: Kill},
 	{Trouble: Freeze, Where: "holder"},
@@ -43,10 +43,10 @@
 	{Trouble: Surge, Times: 2},
 }
 
-// randomWorld draws a small deployment and two to five troubles.
+// randomWorld draws a small deployment with two to five faults.
 func randomWorld(seed uint64) *World {
 	random := rand.New(rand.NewPCG(seed, 7))
-	w := usersWorld(0.25, 9*time.Second)
+	w := testWorld(0.25, 9*time.Second)
 	w.Seed = seed
 	w.Layout.Hosts = 1 + random.IntN(3)
 	w.Layout.Targets = 4
@@ -54,17 +54,17 @@
 		w.Lost = 0.05
 	}
 	if random.IntN(4) == 0 {
-		w.Bounds.MaxSharedTargets = 6 // a holder a zone
+		w.Bounds.MaxSharedTargets = 6 // one holder per zone
 	}
 	if seed%7 == 3 {
 		w.Mute = 0.05
 	}
 	if seed%3 == 1 {
-		w.Bounds.FullMeshHosts = 1 // only the holder and its successors hear of all others
+		w.Bounds.FullMeshHosts = 1 // only the holder and its successors monitor all other hosts
 		w.Layout.Hosts += 2
 	}
 	for range 2 + random.IntN(4) {
-		f := troubles[random.IntN(len(troubles))]
+		f := randomFaults[random.IntN(len(randomFaults))]
 		f.At = time.Duration(random.Int64N(int64(7 * time.Second)))
 		f.For = 300*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second)))
 		w.Faults = append(w.Faults, f)
@@ -72,37 +72,37 @@
 	return w
 }
 
-// TestWorlds plays random troubles and checks what must always hold: one run of a
-// task at a time, refusals that are true, answers that are whole, and an answer to
-// every client whose host lives.
-func TestWorlds(t *testing.T) {
+// TestInvariantsHoldUnderRandomFaults checks the invariants under random faults: a task has
+// at most one run at a time, a job refused as not run never ran, a job answered as complete
+// has all its tasks done, and every client whose host runs gets an answer.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	var group sync.WaitGroup
-	free := make(chan struct{}, runtime.GOMAXPROCS(0)) // worlds at a time
-	for seed := *firstSeed; seed < *firstSeed+uint64(*worlds); seed++ {
-		free <- struct{}{}
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // parallel simulations
+	for seed := *firstSeed; seed < *firstSeed+uint64(*worldCount); seed++ {
+		slots <- struct{}{}
 		group.Go(func() {
 			w := randomWorld(seed)
 			w.Run()
-			if !assert.Empty(t, w.Broken, "seed %d, %+v, lost %v, mute %v, split %d, mesh %d, hosts %d", seed, w.Faults, w.Lost, w.Mute, w.Bounds.MaxSharedTargets, w.Bounds.FullMeshHosts, w.Layout.Hosts) {
-				report(t, w)
+			if !assert.Empty(t, w.Broken, "seed %d, %+v, share of orders executed late %v, share of answers lost %v, targets under one holder %d, hosts in a full mesh %d, hosts per zone %d", seed, w.Faults, w.Lost, w.Mute, w.Bounds.MaxSharedTargets, w.Bounds.FullMeshHosts, w.Layout.Hosts) {
+				logResults(t, w)
 			}
-			<-free
+			<-slots
 		})
 	}
 	group.Wait()
 }
 
-// TestRegressions plays the random worlds that once failed.
-func TestRegressions(t *testing.T) {
+// TestRegressionSeeds repeats the random simulations that once violated an invariant.
+func TestRegressionSeeds(t *testing.T) {
 	for seed, cause := range map[uint64]string{
-		267:    "a host that regained a cell went on with its former jobs",
-		330:    "a new holder extended the leases of runs that nobody claimed",
-		100820: "a dropped job that came back was refused as not run",
-		130580: "a run that a restarted target had taken was given up and started elsewhere",
-		102087: "a holder went by targets that had obeyed it before another had them in between",
-		131179: "a holder went by targets that had obeyed it before another had them in between",
-		500289: "a job was started anew that might run in a zone of another holder, whose targets were not listed",
-		201094: "a dropped job that came back was started beside its run that was being stopped",
+		267:    "a host that regained a cell continued its previous jobs",
+		330:    "a new holder extended the leases of orphans",
+		100820: "a dropped job that was sent again was refused as not run",
+		130580: "a run that a restarted target had accepted was abandoned and started elsewhere",
+		102087: "a holder relied on targets that had accepted its token before another host held them in between",
+		131179: "a holder relied on targets that had accepted its token before another host held them in between",
+		500289: "a job was started again although it might run in the zone of another holder, whose targets were not listed",
+		201094: "a dropped job that was sent again was started while its previous run was still stopping",
 	} {
 		w := randomWorld(seed)
 		w.Run()
@@ -110,8 +110,9 @@
 	}
 }
 
-// TestReplay makes sure that a seed plays the same world again.
-func TestReplay(t *testing.T) {
+// TestSameSeedRepeatsSimulation checks that two simulations with the same seed make the same
+// decisions.
+func TestSameSeedRepeatsSimulation(t *testing.T) {
 	var trace [2][]string
 	for i := range trace {
 		w := randomWorld(5)
--- a/internal/modeler/flood_test.go
+++ b/internal/modeler/flood_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// floodSeeds is how many seeds are taken together, so that the rarest kind has
-	// some 1,000 jobs for its p99: with half as many it moves by a tenth by chance.
+	// floodSeeds is the number of seeds whose results are merged. It gives the rarest kind
+	// about 1,000 jobs for its p99; with half as many the p99 varies by a tenth by chance.
 	floodSeeds = 16
-	// floodAllowed is how many times the p99 without the flood the others may have,
-	// and floodInTime the part of them that is answered in time.
-	floodAllowed = 1.3
-	floodInTime  = 0.9
-	// broken is the name under which playFlood counts what did not hold.
-	broken = "broken"
+	// maxP99Ratio bounds the p99 of the other kinds relative to their p99 without the
+	// flood, and minInTimeShare is the share of them that must be answered in time.
+	maxP99Ratio    = 1.3
+	minInTimeShare = 0.9
+	// violations is the key under which simulateFlood counts violations of invariants.
+	violations = "broken"
 )
 
-// playFlood plays a site at 0.7 of the usual load with one kind of job five times as
-// often, or none for "", and returns what became of each kind.
-func playFlood(site func() World, flood string) map[string]*Count {
+// simulateFlood simulates a site at 0.7 of the default load, where one kind of job, or none
+// for "", arrives five times as often. It returns the outcomes by kind.
+func simulateFlood(site func() World, flood string) map[string]*Count {
 	worlds := make([]World, floodSeeds)
 	var group sync.WaitGroup
 	for i := range worlds {
@@ -37,54 +37,54 @@
 		group.Go(w.Run)
 	}
 	group.Wait()
-	sum := map[string]*Count{broken: {}}
+	counts := map[string]*Count{violations: {}}
 	for i := range worlds {
-		sum[broken] = &Count{Failed: sum[broken].Failed + len(worlds[i].Broken)}
+		counts[violations] = &Count{Failed: counts[violations].Failed + len(worlds[i].Broken)}
 		for name, n := range worlds[i].Tally.Kinds {
-			if sum[name] == nil {
-				sum[name] = &Count{}
+			if counts[name] == nil {
+				counts[name] = &Count{}
 			}
-			sum[name].Asked += n.Asked
-			sum[name].InTime += n.InTime
-			sum[name].Took = append(sum[name].Took, n.Took...)
+			counts[name].Asked += n.Asked
+			counts[name].InTime += n.InTime
+			counts[name].Took = append(counts[name].Took, n.Took...)
 		}
 	}
-	return sum
+	return counts
 }
 
-// calm plays each site without a flood, once.
-var calm = map[string]func() map[string]*Count{
-	"restrepo":  sync.OnceValue(func() map[string]*Count { return playFlood(Restrepo, "") }),
-	"kutchwala": sync.OnceValue(func() map[string]*Count { return playFlood(Kutchwala, "") }),
+// baselines simulate each site without a flood, once.
+var baselines = map[string]func() map[string]*Count{
+	"restrepo":  sync.OnceValue(func() map[string]*Count { return simulateFlood(Restrepo, "") }),
+	"kutchwala": sync.OnceValue(func() map[string]*Count { return simulateFlood(Kutchwala, "") }),
 }
 
-// spares requires that a flood of one kind leaves the others as they were.
-func spares(t *testing.T, flood string) {
+// requireIsolation requires that a flood of one kind hardly slows down the other kinds.
+func requireIsolation(t *testing.T, flood string) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(Sites())) {
 		t.Run(name, func(t *testing.T) {
-			still, flooded := calm[name](), playFlood(Sites()[name], flood)
-			assert.Zero(t, still[broken].Failed+flooded[broken].Failed)
-			for _, kind := range sortedNames(flooded) {
-				if kind == flood || kind == broken {
+			baseline, flooded := baselines[name](), simulateFlood(Sites()[name], flood)
+			assert.Zero(t, baseline[violations].Failed+flooded[violations].Failed)
+			for _, kind := range sortedKeys(flooded) {
+				if kind == flood || kind == violations {
 					continue
 				}
-				n, alone := flooded[kind], still[kind]
+				n, base := flooded[kind], baseline[kind]
 				inTime := float64(n.InTime) / float64(n.Asked)
-				ratio := n.Quantile(0.99).Seconds() / alone.Quantile(0.99).Seconds()
+				ratio := n.Quantile(0.99).Seconds() / base.Quantile(0.99).Seconds()
 				t.Logf("%s: %.3f of %d in time, p99 %.3f times that without the flood", kind, inTime, n.Asked, ratio)
-				assert.GreaterOrEqual(t, inTime, floodInTime, kind)
-				assert.LessOrEqual(t, ratio, floodAllowed, kind)
+				assert.GreaterOrEqual(t, inTime, minInTimeShare, kind)
+				assert.LessOrEqual(t, ratio, maxP99Ratio, kind)
 			}
 		})
 	}
 }
 
-// TestFloodOfChecks lets jobs of many short tasks come five times as often.
-func TestFloodOfChecks(t *testing.T) { spares(t, "check") }
+// TestFloodOfChecks floods a site with jobs of many short tasks.
+func TestFloodOfChecks(t *testing.T) { requireIsolation(t, "check") }
 
-// TestFloodOfConfirms lets the most frequent jobs come five times as often.
-func TestFloodOfConfirms(t *testing.T) { spares(t, "confirm") }
+// TestFloodOfConfirms floods a site with the most frequent kind of job.
+func TestFloodOfConfirms(t *testing.T) { requireIsolation(t, "confirm") }
 
-// TestFloodOfManifests lets jobs of long tasks come five times as often.
-func TestFloodOfManifests(t *testing.T) { spares(t, "manifest") }
+// TestFloodOfManifests floods a site with jobs of long tasks.
+func TestFloodOfManifests(t *testing.T) { requireIsolation(t, "manifest") }
--- a/internal/modeler/host.go
+++ b/internal/modeler/host.go
@@ -6,114 +6,116 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// host is one entry host and its process.
+// host is a simulated entry host and its process.
 type host struct {
 	world   *World
 	name    string
 	zone    string
 	address string
 	router  *router.Router
-	// life counts the processes; events meant for an earlier one are dropped.
-	life    int
-	up      bool
-	frozen  bool
-	leaving bool
-	held    []func() // what happened while frozen
-	thawed  time.Time
-	linked  map[string]bool
-	sent    int // messages to other hosts
+	// incarnation counts the starts and ends of the process. Events scheduled for an
+	// earlier incarnation are dropped.
+	incarnation  int
+	up           bool
+	paused       bool
+	leaving      bool
+	deferred     []func() // events that arrived while the process was paused
+	resumedAt    time.Time
+	links        map[string]bool // by address, whether the link is open; no entry when not wanted
+	sentMessages int             // number of messages to other hosts
 }
 
-// boot starts the process.
-func (h *host) boot() {
+// startProcess starts the process unless it is running.
+func (h *host) startProcess() {
 	if h.up {
 		return
 	}
-	h.life++
-	h.up, h.frozen, h.leaving, h.held = true, false, false, nil
-	h.linked = make(map[string]bool)
+	h.incarnation++
+	h.up, h.paused, h.leaving, h.deferred = true, false, false, nil
+	h.links = make(map[string]bool)
 	h.router = &router.Router{
 		Policy: h.world.Policy,
 		Self:   router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.world.now.UnixNano()},
 		Bounds: h.world.Bounds,
 	}
-	h.tick(h.life)
-	h.later(0, func() { h.world.store.enrol(h) })
-	h.watch(h.life)
+	h.tick(h.incarnation)
+	h.schedule(0, func() { h.world.store.register(h) })
+	h.watchConfig(h.incarnation)
 }
 
-// kill ends the process at once.
+// kill ends the process immediately, as a crash does.
 func (h *host) kill() {
-	h.up, h.frozen, h.held = false, false, nil
-	h.life++
-	h.world.hangUp(h)
+	h.up, h.paused, h.deferred = false, false, nil
+	h.incarnation++
+	h.world.dropConnections(h)
 }
 
-// later plans something for this process.
-func (h *host) later(d time.Duration, do func()) {
-	life := h.life
-	h.world.after(d, func() {
-		if h.life != life || !h.up {
+// schedule plans an action of this process. A paused process executes it when it resumes.
+func (h *host) schedule(d time.Duration, action func()) {
+	incarnation := h.incarnation
+	h.world.schedule(d, func() {
+		if h.incarnation != incarnation || !h.up {
 			return
 		}
-		if h.frozen {
-			h.held = append(h.held, do)
+		if h.paused {
+			h.deferred = append(h.deferred, action)
 			return
 		}
-		do()
+		action()
 	})
 }
 
-// thaw lets a frozen process go on with all that came meanwhile.
-func (h *host) thaw() {
-	if !h.frozen {
+// resume continues a paused process with the events that arrived in the meantime.
+func (h *host) resume() {
+	if !h.paused {
 		return
 	}
-	h.frozen, h.thawed = false, h.world.now
-	held := h.held
-	h.held = nil
-	for _, do := range held {
-		if h.up && !h.frozen {
-			do()
+	h.paused, h.resumedAt = false, h.world.now
+	deferred := h.deferred
+	h.deferred = nil
+	for _, action := range deferred {
+		if h.up && !h.paused {
+			action()
 		}
 	}
 }
 
-func (h *host) tick(life int) {
-	if h.life != life || !h.up {
+func (h *host) tick(incarnation int) {
+	if h.incarnation != incarnation || !h.up {
 		return
 	}
 	h.step(router.Tick{})
-	h.later(h.world.Bounds.TickInterval, func() { h.tick(life) })
+	h.schedule(h.world.Bounds.TickInterval, func() { h.tick(incarnation) })
 }
 
-// watch reads the configuration now and then.
-func (h *host) watch(life int) {
-	if h.life != life {
+// watchConfig reads the configuration at regular intervals.
+func (h *host) watchConfig(incarnation int) {
+	if h.incarnation != incarnation {
 		return
 	}
-	h.world.store.config(h)
-	h.later(configEvery, func() { h.watch(life) })
+	h.world.store.readConfig(h)
+	h.schedule(configInterval, func() { h.watchConfig(incarnation) })
 }
 
-// configEvery is how soon a host sees a new configuration: a watch and an answer.
-const configEvery = 200 * time.Millisecond
+// configInterval bounds the time until a host sees a new configuration: a watch and its
+// answer.
+const configInterval = 200 * time.Millisecond
 
-// step applies an event and carries out the effects.
+// step passes an event to the router and executes the effects.
 func (h *host) step(e router.Event) {
 	if !h.up {
 		return
 	}
 	for _, effect := range h.router.Step(h.world.now, e) {
-		h.carry(effect)
+		h.execute(effect)
 	}
 }
 
-func (h *host) carry(effect router.Effect) {
+func (h *host) execute(effect router.Effect) {
 	w := h.world
 	switch e := effect.(type) {
 	case router.Answer:
-		w.answered(h, e)
+		w.handleAnswer(h, e)
 	case router.Send:
 		h.send(e)
 	case router.Dial:
@@ -121,101 +123,101 @@
 			h.dial(address)
 		}
 	case router.Redial:
-		h.linked[e.Address] = false
+		h.links[e.Address] = false
 		h.dial(e.Address)
 	case router.CloseLink:
-		delete(h.linked, e.Address)
+		delete(h.links, e.Address)
 	case router.Start:
-		w.deliver(h, e.Target, e.Timeout, func(t *target) answerer { return t.start(h, e) }, func(result router.StartResult, clock router.Reading) router.Event {
+		w.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStart(h, e) }, func(result router.StartResult, clock router.Reading) router.Event {
 			return router.StartAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Result: result, Clock: clock}
 		})
 	case router.Stop:
-		w.deliver(h, e.Target, e.Timeout, func(t *target) answerer { return t.stop(e) }, func(result router.StartResult, _ router.Reading) router.Event {
+		w.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStop(e) }, func(result router.StartResult, _ router.Reading) router.Event {
 			return router.StopAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Acknowledged: result == router.Running}
 		})
 	case router.Renew:
-		w.renew(h, e)
+		w.sendRenewal(h, e)
 	case router.WriteClaims:
-		w.store.stake(h, e)
+		w.store.writeClaims(h, e)
 	case router.SaveLearnedState:
-		w.store.keep(h, e)
+		w.store.saveLearnedState(h, e)
 	case router.ReadDirectory:
-		w.store.read(h)
+		w.store.readDirectory(h)
 	case router.Decision:
-		h.trace(e)
+		h.traceDecision(e)
 	case router.Violation:
-		w.broken("%s: %s: %s", h.name, e.Invariant, e.Detail)
+		w.recordViolation("%s: %s: %s", h.name, e.Invariant, e.Detail)
 	case router.Halt:
 		h.kill()
-		w.after(300*time.Millisecond, h.boot)
+		w.schedule(300*time.Millisecond, h.startProcess)
 	}
 }
 
-// send carries a message over the link, if it stands.
+// send sends a message to another host if the link to it is open.
 func (h *host) send(e router.Send) {
 	w := h.world
-	to := w.byLink[e.To]
-	if to == nil || !h.linked[e.To] {
+	to := w.hostsByAddress[e.To]
+	if to == nil || !h.links[e.To] {
 		return
 	}
 	if !to.up {
-		h.linked[e.To] = false
+		h.links[e.To] = false
 		h.dial(e.To)
 		return
 	}
-	h.sent++
-	if !w.passes(h.name, h.zone, to.name, to.zone) {
+	h.sentMessages++
+	if !w.canReach(h.name, h.zone, to.name, to.zone) {
 		return
 	}
-	to.later(w.delay(h.zone, to.zone), func() { to.step(router.Receive{From: h.address, Message: e.Message}) })
+	to.schedule(w.delay(h.zone, to.zone), func() { to.step(router.Receive{From: h.address, Message: e.Message}) })
 }
 
-// dial makes a link; it tries again until it stands.
+// dial opens a link and retries until it is open or no longer wanted.
 func (h *host) dial(address string) {
 	w := h.world
-	to := w.byLink[address]
-	if to == nil || h.linked[address] {
+	to := w.hostsByAddress[address]
+	if to == nil || h.links[address] {
 		return
 	}
-	if _, known := h.linked[address]; !known {
-		h.linked[address] = false
+	if _, known := h.links[address]; !known {
+		h.links[address] = false
 	}
-	h.later(2*w.delay(h.zone, to.zone), func() {
-		if linked, wanted := h.linked[address]; linked || !wanted {
+	h.schedule(2*w.delay(h.zone, to.zone), func() {
+		if isOpen, isWanted := h.links[address]; isOpen || !isWanted {
 			return
 		}
-		open := w.passes(h.name, h.zone, to.name, to.zone) && w.passes(to.name, to.zone, h.name, h.zone)
-		if open && to.up {
-			h.linked[address] = true
+		canConnect := w.canReach(h.name, h.zone, to.name, to.zone) && w.canReach(to.name, to.zone, h.name, h.zone)
+		if canConnect && to.up {
+			h.links[address] = true
 			h.step(router.LinkOpened{Address: address})
 			return
 		}
-		if open {
+		if canConnect {
 			h.step(router.PeerExited{Address: address})
 		}
-		h.later(redialPause, func() { h.dial(address) })
+		h.schedule(redialDelay, func() { h.dial(address) })
 	})
 }
 
-// redialPause is the pause between two tries to make a link.
-const redialPause = 100 * time.Millisecond
+// redialDelay is the delay between two attempts to open a link.
+const redialDelay = 100 * time.Millisecond
 
-// hangUp breaks all links to a process that has ended, and the connections of
-// its clients.
-func (w *World) hangUp(gone *host) {
+// dropConnections closes all links to a process that has ended, and the connections of its
+// clients.
+func (w *World) dropConnections(ended *host) {
 	for _, h := range w.hosts {
-		if h.up && h.linked[gone.address] {
-			h.linked[gone.address] = false
-			h.dial(gone.address)
+		if h.up && h.links[ended.address] {
+			h.links[ended.address] = false
+			h.dial(ended.address)
 		}
 	}
-	for _, c := range w.clientsOf(gone) {
-		c.brokenOff()
+	for _, c := range w.clientsWaitingAt(ended) {
+		c.handleBrokenConnection()
 	}
 }
 
-// trace hands over a decision.
-func (h *host) trace(e router.Decision) {
+// traceDecision passes a decision to World.Trace.
+func (h *host) traceDecision(e router.Decision) {
 	if h.world.Trace != nil {
 		h.world.Trace(h.world.now.Sub(h.world.start), h.name, e)
 	}
--- a/internal/modeler/lost_test.go
+++ b/internal/modeler/lost_test.go
@@ -9,31 +9,31 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// lostAll plays the loss of all hosts 11 s after the start, with four seeds, and returns
-// the part of what was owed for jobs sent in the first two seconds after their return that
-// callers got.
-func lostAll(t *testing.T, policy router.Policy) float64 {
+// benefitAfterLoss simulates the loss of all hosts 11 s after the start of the load, with
+// four seeds. It returns the achieved share of the benefit of the jobs that were sent in
+// the first two seconds after the hosts are back.
+func benefitAfterLoss(t *testing.T, policy router.Policy) float64 {
 	const first, last = 13, 15 // seconds
-	earned, owed := 0.0, 0.0
-	meanWorth(t, func() *World {
-		w := usersWorld(1, last*time.Second, Fault{Trouble: KillAll, At: 11 * time.Second, For: 1200 * time.Millisecond})
+	achieved, possible := 0.0, 0.0
+	meanBenefit(t, func() *World {
+		w := testWorld(1, last*time.Second, Fault{Trouble: KillAll, At: 11 * time.Second, For: 1200 * time.Millisecond})
 		w.Policy = policy
 		return w
 	}, func(w *World) {
 		for second := first; second < last; second++ {
-			earned += w.Tally.Earned[second]
-			owed += w.Tally.Owed[second]
+			achieved += w.Tally.Earned[second]
+			possible += w.Tally.Owed[second]
 		}
 	})
-	t.Logf("worth after the return %.3f", earned/owed)
-	return earned / owed
+	t.Logf("benefit after the hosts are back %.3f", achieved/possible)
+	return achieved / possible
 }
 
-// TestReturnOfAllHosts: clients whose jobs were lost with all hosts send them again when
-// the hosts are back. They take nothing from those who come only then and can still be
-// answered in time.
-func TestReturnOfAllHosts(t *testing.T) {
-	least := lostAll(t, router.Policy{})
-	assert.GreaterOrEqual(t, least, 0.90)
-	assert.Greater(t, least, lostAll(t, router.Policy{RetryOrder: router.RetriesAsNew}))
+// TestRetriesDoNotDelayNewJobs guards against retries that displace new jobs: clients whose
+// jobs were lost with all hosts send them again when the hosts are back, and new jobs that
+// can still be answered in time must not suffer.
+func TestRetriesDoNotDelayNewJobs(t *testing.T) {
+	benefit := benefitAfterLoss(t, router.Policy{})
+	assert.GreaterOrEqual(t, benefit, 0.90)
+	assert.Greater(t, benefit, benefitAfterLoss(t, router.Policy{RetryOrder: router.RetriesAsNew}))
 }
--- a/internal/modeler/scenario.go
+++ b/internal/modeler/scenario.go
@@ -12,8 +12,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Scenario is an experiment: a site under loads and troubles, with policies side by
-// side that get the same jobs.
+// Scenario is an experiment that compares policies. It simulates a site under several loads
+// and faults, and each policy gets the same jobs.
 type Scenario struct {
 	Site     string
 	Loads    []float64
@@ -23,13 +23,13 @@
 	Faults   []Fault
 }
 
-// Variant is a policy to measure.
+// Variant is a named policy of a comparison. Change applies it to a World.
 type Variant struct {
 	Name   string
 	Change func(*World)
 }
 
-// Variants returns the policy in force first, then earlier ones and baselines.
+// Variants returns the current policy first, then previous policies and baselines.
 func Variants() []Variant {
 	return []Variant{
 		{"pooled", func(*World) {}},
@@ -43,7 +43,8 @@
 	}
 }
 
-// Ablations returns the policy in force, and it without each of its mechanisms.
+// Ablations returns the current policy, then the current policy without each one of its
+// mechanisms.
 func Ablations() []Variant {
 	list := []Variant{
 		Variants()[0],
@@ -58,8 +59,7 @@
 	return list
 }
 
-// Ablate makes the scenario one that plays the policy in force without each of its
-// mechanisms.
+// Ablate replaces the policies of the scenario by those of Ablations.
 func (v *Scenario) Ablate() {
 	v.Policies = nil
 	for _, variant := range Ablations() {
@@ -67,18 +67,18 @@
 	}
 }
 
-// Sites returns the sites that scenarios name.
+// Sites returns the sites by the names that scenarios use.
 func Sites() map[string]func() World {
 	return map[string]func() World{"restrepo": Restrepo, "kutchwala": Kutchwala}
 }
 
 const (
-	// usualSeeds and usualLength are those that the policies were compared with.
-	usualSeeds  = 4
-	usualLength = 12 * time.Second
+	defaultSeeds  = 4
+	defaultLength = 12 * time.Second
 )
 
-// ParseScenario reads a scenario from INI text. The error is parser.Faults.
+// ParseScenario reads a scenario from INI text. Errors contain the name of the text. They are
+// of type parser.Faults and list all its faults.
 func ParseScenario(name, text string) (*Scenario, error) {
 	doc := parser.Parse(name, text)
 	v := &Scenario{}
@@ -87,12 +87,12 @@
 	if v.Site != "" && Sites()[v.Site] == nil {
 		doc.Fault("scenario", "site", "unknown", "name restrepo or kutchwala")
 	}
-	v.Seeds = s.Int("seeds", usualSeeds, 1, 1000)
-	v.Length = s.Duration("length", usualLength, time.Second, time.Hour)
+	v.Seeds = s.Int("seeds", defaultSeeds, 1, 1000)
+	v.Length = s.Duration("length", defaultLength, time.Second, time.Hour)
 	for _, text := range s.List("loads") {
 		load, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(load > 0 && load <= 10) {
-			doc.Fault("scenario", "loads", fmt.Sprintf("%q is no load", text), "write factors of the usual load above 0, up to 10")
+			doc.Fault("scenario", "loads", fmt.Sprintf("%q is not a valid load", text), "write factors of the default load above 0, up to 10")
 		}
 		v.Loads = append(v.Loads, load)
 	}
@@ -106,7 +106,7 @@
 	}
 	for _, p := range v.Policies {
 		if !slices.Contains(known, p) {
-			doc.Fault("scenario", "policies", fmt.Sprintf("%q is no policy", p), "use "+strings.Join(known, ", "))
+			doc.Fault("scenario", "policies", fmt.Sprintf("%q is not a known policy", p), "use "+strings.Join(known, ", "))
 		}
 	}
 	if len(v.Policies) == 0 {
@@ -126,7 +126,7 @@
 	s := doc.Section(section)
 	defer s.Close()
 	f := Fault{
-		Trouble: Trouble(s.Need("trouble", "name a trouble, such as cut-zone")), Where: s.Text("where", ""),
+		Trouble: Trouble(s.Need("trouble", "name a kind of fault, such as cut-zone")), Where: s.Text("where", ""),
 		At: s.Duration("at", 3*time.Second, 0, time.Hour), For: s.Duration("for", 5*time.Second, 0, time.Hour),
 		Share: s.Float("share", 0, 0, 1), Times: s.Float("times", 1, 0, 100),
 	}
@@ -136,29 +136,30 @@
 	return f
 }
 
-// Row is what one policy gave under one load, over all seeds.
+// Row is the result of one policy under one load over all seeds.
 type Row struct {
 	Policy string  `json:"policy"`
 	Load   float64 `json:"load"`
-	// Worth is the part earned of what was owed, Worst its least over 2 s, both as
-	// means over the seeds; Bound is more than any policy can earn.
+	// Worth is the achieved share of the possible benefit and Worst its lowest value over
+	// any 2 s, both as means over the seeds. Bound is an upper bound on Worth under any
+	// policy.
 	Worth float64 `json:"worth"`
 	Worst float64 `json:"worst"`
 	Bound float64 `json:"bound"`
-	// Gain is by how much the worth differs from that of the first policy under the same
-	// load, and Margin half of its 95 % interval, from seeds that are played by both;
-	// it is 0 where there is only one.
+	// Gain is the mean difference of Worth from that of the first policy under the same
+	// load and seeds. Margin is half of the 95 % confidence interval of Gain, or 0 when
+	// there is only one seed.
 	Gain   float64 `json:"gain"`
 	Margin float64 `json:"margin,omitempty"`
-	// Seconds is the worth by second, Zones by the client's zone.
+	// Seconds is the achieved share of the benefit by second, Zones by the client's zone.
 	Seconds []float64          `json:"seconds"`
 	Zones   map[string]float64 `json:"zones"`
 	Kinds   map[string]KindRow `json:"kinds"`
-	// Broken lists what did not hold.
+	// Broken lists the violations of invariants.
 	Broken []string `json:"broken,omitempty"`
 }
 
-// KindRow is what became of one kind of job.
+// KindRow is the result for one kind of job.
 type KindRow struct {
 	Asked   int     `json:"asked"`
 	InTime  int     `json:"inTime"`
@@ -166,63 +167,65 @@
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"` // or of unknown outcome
 	Worth   float64 `json:"worth"`
-	// P50 and P99 are times to answers of completed jobs, in nanoseconds in JSON.
+	// P50 and P99 are quantiles of the response times of completed jobs. They are in
+	// nanoseconds in JSON.
 	P50 time.Duration `json:"p50"`
 	P99 time.Duration `json:"p99"`
 }
 
-// Play plays all policies, loads and seeds, so many worlds at a time, and tells the
-// progress after each.
-func (v *Scenario) Play(jobs int, progress func(done, all int)) []Row {
-	var trials []*trial
+// Play simulates all policies, loads and seeds, up to jobs simulations in parallel. It calls
+// progress after each simulation. It returns a row for each load and policy,
+// in the order of Loads and then of Policies.
+func (v *Scenario) Play(jobs int, progress func(done, total int)) []Row {
+	var simulations []*scenarioRun
 	for _, load := range v.Loads {
 		for _, name := range v.Policies {
 			for seed := range v.Seeds {
-				trials = append(trials, &trial{scenario: v, policy: name, load: load, seed: uint64(seed) + 1})
+				simulations = append(simulations, &scenarioRun{scenario: v, policy: name, load: load, seed: uint64(seed) + 1})
 			}
 		}
 	}
-	p := &pace{all: len(trials), tell: progress, free: make(chan struct{}, max(jobs, 1))}
-	for _, t := range trials {
-		p.free <- struct{}{}
-		t.pace = p
-		p.group.Go(t.run)
+	r := &runner{total: len(simulations), progress: progress, slots: make(chan struct{}, max(jobs, 1))}
+	for _, t := range simulations {
+		r.slots <- struct{}{}
+		t.runner = r
+		r.group.Go(t.run)
 	}
-	p.group.Wait()
+	r.group.Wait()
 	var rows []Row
-	for i := 0; i < len(trials); i += v.Seeds {
-		row := summarize(trials[i : i+v.Seeds])
+	for i := 0; i < len(simulations); i += v.Seeds {
+		row := summarize(simulations[i : i+v.Seeds])
 		first := i - i%(len(v.Policies)*v.Seeds)
-		row.Gain, row.Margin = compare(trials[i:i+v.Seeds], trials[first:first+v.Seeds])
+		row.Gain, row.Margin = compare(simulations[i:i+v.Seeds], simulations[first:first+v.Seeds])
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// pace bounds the trials at a time and counts those that are over.
-type pace struct {
-	group sync.WaitGroup
-	free  chan struct{}
-	mutex sync.Mutex
-	done  int
-	all   int
-	tell  func(done, all int)
+// runner limits the parallel simulations and counts those that are done.
+type runner struct {
+	group    sync.WaitGroup
+	slots    chan struct{}
+	mutex    sync.Mutex
+	done     int
+	total    int
+	progress func(done, total int)
 }
 
-// trial is one world of a scenario.
-type trial struct {
+// scenarioRun is the simulation of a scenario with one policy, load and seed.
+type scenarioRun struct {
 	scenario *Scenario
 	policy   string
 	load     float64
 	seed     uint64
-	pace     *pace
+	runner   *runner
 
-	tally    Tally
-	capacity float64
-	broken   []string
+	tally      Tally
+	capacity   float64
+	violations []string
 }
 
-func (t *trial) run() {
+func (t *scenarioRun) run() {
 	w := Sites()[t.scenario.Site]()
 	w.Load, w.Seed, w.Length, w.Faults = t.load, t.seed, t.scenario.Length, t.scenario.Faults
 	for _, variant := range slices.Concat(Variants()[1:], Ablations()) {
@@ -231,10 +234,10 @@
 		}
 	}
 	w.Run()
-	t.tally, t.capacity, t.broken = w.Tally, w.capacity(), w.Broken
-	t.pace.mutex.Lock()
-	t.pace.done++
-	t.pace.tell(t.pace.done, t.pace.all)
-	t.pace.mutex.Unlock()
-	<-t.pace.free
+	t.tally, t.capacity, t.violations = w.Tally, w.capacity(), w.Broken
+	t.runner.mutex.Lock()
+	t.runner.done++
+	t.runner.progress(t.runner.done, t.runner.total)
+	t.runner.mutex.Unlock()
+	<-t.runner.slots
 }
--- a/internal/modeler/scenario_test.go
+++ b/internal/modeler/scenario_test.go
@@ -13,8 +13,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// TestScenarioFaults: all faults of a scenario are told at once.
-func TestScenarioFaults(t *testing.T) {
+// TestScenarioReportsAllFaults checks that one error lists all faults of a scenario.
+func TestScenarioReportsAllFaults(t *testing.T) {
 	_, err := ParseScenario("s.ini", "[scenario]\nsite = nowhere\nloads = 1, many\npolicies = pooled, best\nseeds = 0\nlenght = 3s\n[fault 1]\ntrouble = rain\nshare = 2\n")
 	var faults parser.Faults
 	require.ErrorAs(t, err, &faults)
@@ -23,8 +23,8 @@
 	}, faults.Keys())
 }
 
-// TestScenarioFiles reads the scenarios of the examples.
-func TestScenarioFiles(t *testing.T) {
+// TestExampleScenariosAreValid parses the scenarios of the examples.
+func TestExampleScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", "scenarios", "*.ini"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -36,22 +36,22 @@
 	}
 }
 
-// TestPolicies plays overload with the policy in force and the others: none earns more,
-// none more than the bound, and all get the same jobs.
-func TestPolicies(t *testing.T) {
-	s := &Scenario{Site: "restrepo", Loads: []float64{heaviest * 1.3}, Seeds: 4, Length: 10 * time.Second}
+// TestCurrentPolicyIsBest compares the policies under overload. No other policy achieves more
+// benefit than the current one, none exceeds the bound, and all get the same jobs.
+func TestCurrentPolicyIsBest(t *testing.T) {
+	s := &Scenario{Site: "restrepo", Loads: []float64{heaviestLoad * 1.3}, Seeds: 4, Length: 10 * time.Second}
 	for _, v := range Variants() {
 		s.Policies = append(s.Policies, v.Name)
 	}
-	told := 0
+	calls := 0
 	rows := s.Play(4, func(done, all int) {
-		told++
-		assert.Equal(t, told, done)
+		calls++
+		assert.Equal(t, calls, done)
 		assert.Equal(t, 4*len(s.Policies), all)
 	})
 	require.Len(t, rows, len(s.Policies))
 	for _, r := range rows {
-		t.Logf("%s: worth %.3f, worst %.3f, bound %.3f", r.Policy, r.Worth, r.Worst, r.Bound)
+		t.Logf("%s: benefit %.3f, worst %.3f, bound %.3f", r.Policy, r.Worth, r.Worst, r.Bound)
 		assert.Empty(t, r.Broken)
 		assert.LessOrEqual(t, r.Worth, rows[0].Worth, r.Policy)
 		assert.LessOrEqual(t, r.Worth, r.Bound)
@@ -62,17 +62,18 @@
 	assert.Less(t, rows[len(rows)-1].Worth, 0.7*rows[0].Worth, "first come, first served")
 }
 
-// TestBound: the jobs with the most worth for their work fill the targets.
-func TestBound(t *testing.T) {
+// TestBoundPrefersBenefitPerWork checks that the jobs with the highest benefit per work use
+// the capacity first.
+func TestBoundPrefersBenefitPerWork(t *testing.T) {
 	tally := Tally{Orders: []Order{{Worth: 1, Work: 10}, {Worth: 1, Work: 1}, {Worth: 2, Work: 8}}}
 	assert.InDelta(t, 1, tally.Bound(19), 1e-9)
-	assert.InDelta(t, (1+2+lateWorth)/4, tally.Bound(9), 1e-9)
-	assert.InDelta(t, (1+1+2*lateWorth/2+lateWorth)/4, tally.Bound(5), 1e-9)
+	assert.InDelta(t, (1+2+lateBenefit)/4, tally.Bound(9), 1e-9)
+	assert.InDelta(t, (1+1+2*lateBenefit/2+lateBenefit)/4, tally.Bound(5), 1e-9)
 }
 
-// TestAblations: each mechanism is switched off in turn, and the policy in force is compared
-// with itself first.
-func TestAblations(t *testing.T) {
+// TestAblationsDisableEachMechanism checks that each mechanism is disabled in turn, and that
+// the first row compares the current policy with itself.
+func TestAblationsDisableEachMechanism(t *testing.T) {
 	s := &Scenario{Site: "restrepo", Loads: []float64{0.5}, Seeds: 1, Length: time.Second}
 	s.Ablate()
 	assert.Len(t, s.Policies, 5+len(router.Mechanisms()))
@@ -88,21 +89,22 @@
 	}
 }
 
-// TestMargin: the margin is that of the differences between worlds with the same seeds.
-func TestMargin(t *testing.T) {
-	worth := func(values ...float64) []*trial {
-		var list []*trial
+// TestMarginUsesPairedSeeds checks that the margin is computed from the differences between
+// simulations with the same seeds.
+func TestMarginUsesPairedSeeds(t *testing.T) {
+	simulationsWith := func(values ...float64) []*scenarioRun {
+		var list []*scenarioRun
 		for _, v := range values {
-			t := &trial{}
+			t := &scenarioRun{}
 			t.tally.Kinds = map[string]*Count{"k": {Earned: v, Owed: 1}}
 			list = append(list, t)
 		}
 		return list
 	}
-	gain, margin := compare(worth(0.9, 0.7, 0.5), worth(0.8, 0.6, 0.4))
+	gain, margin := compare(simulationsWith(0.9, 0.7, 0.5), simulationsWith(0.8, 0.6, 0.4))
 	assert.InDelta(t, 0.1, gain, 1e-9)
 	assert.InDelta(t, 0, margin, 1e-6)
-	gain, margin = compare(worth(0.9, 0.5), worth(0.8, 0.6))
+	gain, margin = compare(simulationsWith(0.9, 0.5), simulationsWith(0.8, 0.6))
 	assert.InDelta(t, 0, gain, 1e-9)
 	assert.InDelta(t, 1.96*0.1, margin, 1e-9)
 }
--- a/internal/modeler/site.go
+++ b/internal/modeler/site.go
@@ -6,8 +6,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Usual is the traffic of the users' sites at a load of 1, with tasks that need
-// so much of a target's processor (thousandths of a core).
+// Usual returns the traffic of a site at a load of 1. The argument is the CPU need of a
+// task in thousandths of a core.
 func Usual(cpu int) []Kind {
 	need := router.Resources{CPU: cpu, Memory: 64}
 	kind := Kind{Spread: 0.4, Off: 0.4, Need: need, Stretch: 1.6, Allowance: 60 * time.Millisecond}
@@ -18,7 +18,7 @@
 	return []Kind{check, manifest, confirm}
 }
 
-// Restrepo is a site of three zones with 48 targets of about 32 cores.
+// Restrepo returns a site of three zones with 48 targets of 32 or 48 cores.
 func Restrepo() World {
 	return World{
 		Layout: Layout{
@@ -31,7 +31,8 @@
 	}
 }
 
-// Kutchwala is a site with targets of half the size and longer hops.
+// Kutchwala returns a site whose targets have half the capacity of Restrepo's, with longer
+// network delays between zones.
 func Kutchwala() World {
 	w := Restrepo()
 	w.Layout.Room = router.Resources{CPU: 16000, Memory: 32768}
--- a/internal/modeler/size_test.go
+++ b/internal/modeler/size_test.go
@@ -13,8 +13,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// sized returns a deployment of five zones with so many hosts and a holder a zone.
-func sized(hosts int) *World {
+// largeWorld returns a deployment of five zones with a number of hosts in total and one
+// holder per zone.
+func largeWorld(hosts int) *World {
 	w := Restrepo()
 	w.Layout.Zones = []string{"north", "south", "west", "east", "middle"}
 	w.Layout.Hosts = hosts / len(w.Layout.Zones)
@@ -25,42 +26,42 @@
 }
 
 const (
-	// controlBytes is what a daemon may send and receive a second for control, and
-	// messageBytes the size of a heartbeat with its headers.
-	controlBytes = 6000
-	messageBytes = 128
+	// controlBytesPerSecond is the budget of a daemon for control traffic in both
+	// directions, and messageBytes the size of a heartbeat with its headers.
+	controlBytesPerSecond = 6000
+	messageBytes          = 128
 )
 
-// TestIdleHostCost: what a host without a cell sends does not grow with the number of
-// hosts, and stays within the budget for control.
-func TestIdleHostCost(t *testing.T) {
+// TestIdleHostTrafficIsBounded checks that the traffic of a host without a cell does not grow
+// with the number of hosts, and stays within the budget for control traffic.
+func TestIdleHostTrafficIsBounded(t *testing.T) {
 	for _, hosts := range []int{75, 150} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			w := sized(hosts)
+			w := largeWorld(hosts)
 			w.Load, w.Length, w.Drain = 0, 3*time.Second, 0
 			before := make(map[string]int)
-			w.after(w.Warm, func() {
+			w.schedule(w.Warm, func() {
 				for _, h := range w.hosts {
-					before[h.name] = h.sent
+					before[h.name] = h.sentMessages
 				}
 			})
 			w.Run()
 			assert.Empty(t, w.Broken)
-			held, least := 0, math.MaxInt
+			heldCells, leastSent := 0, math.MaxInt
 			for _, h := range w.hosts {
-				held += h.router.View().HeldCells
-				least = min(least, h.sent-before[h.name])
+				heldCells += h.router.View().HeldCells
+				leastSent = min(leastSent, h.sentMessages-before[h.name])
 			}
-			assert.Equal(t, len(w.Layout.Zones), held)
-			rate := float64(least) / w.Length.Seconds()
-			t.Logf("%d hosts: the least busy one sends %.1f messages a second", hosts, rate)
-			assert.LessOrEqual(t, rate*messageBytes, float64(controlBytes))
+			assert.Equal(t, len(w.Layout.Zones), heldCells)
+			rate := float64(leastSent) / w.Length.Seconds()
+			t.Logf("%d hosts: the host with the least traffic sends %.1f messages per second", hosts, rate)
+			assert.LessOrEqual(t, rate*messageBytes, float64(controlBytesPerSecond))
 		})
 	}
 }
 
-// serves reports whether a host reaches the holder of its zone's cell.
-func serves(h *host) bool {
+// reachesHolder reports whether a host reaches the holder of its zone's cell.
+func reachesHolder(h *host) bool {
 	for _, e := range h.router.Step(h.world.now, router.Inspect{}) {
 		if s, ok := e.(router.State); ok {
 			return slices.ContainsFunc(s.Cells, func(c router.CellState) bool { return c.Zone == h.zone && c.Reachable })
@@ -69,51 +70,52 @@
 	return false
 }
 
-// rotation is how long the users' balancer goes on sending requests to a host that does
-// not serve.
-const rotation = 2 * time.Second
+// balancerDelay is the time for which the platform's load balancer continues to send requests
+// to a host that does not serve.
+const balancerDelay = 2 * time.Second
 
-// TestHalfOfAllHostsLost: when half of the hosts of every zone end at once, the others
-// serve again before the balancer gives them up, and what must always hold does.
-func TestHalfOfAllHostsLost(t *testing.T) {
+// TestServiceAfterLossOfHalfTheHosts checks that, when half of the hosts of every zone end at
+// once, the others serve again before the load balancer removes them, and that no invariant
+// is violated.
+func TestServiceAfterLossOfHalfTheHosts(t *testing.T) {
 	var group sync.WaitGroup
 	for seed := range uint64(4) {
 		group.Go(func() {
-			w := sized(75)
+			w := largeWorld(75)
 			w.Seed, w.Length, w.Drain = seed+1, 5*time.Second, time.Second
-			const struck = 2 * time.Second
+			const lostAt = 2 * time.Second
 			for i := range 7 * len(w.Layout.Zones) {
 				where := fmt.Sprintf("h%d-%d", i%len(w.Layout.Zones), i/len(w.Layout.Zones))
-				w.Faults = append(w.Faults, Fault{Trouble: Kill, At: struck, For: 4 * time.Second, Where: where})
+				w.Faults = append(w.Faults, Fault{Trouble: Kill, At: lostAt, For: 4 * time.Second, Where: where})
 			}
-			waiting := ""
-			w.after(w.Warm+struck+rotation, func() {
+			notServing := ""
+			w.schedule(w.Warm+lostAt+balancerDelay, func() {
 				for _, h := range w.hosts {
-					if h.up && !serves(h) {
-						waiting += " " + h.name
+					if h.up && !reachesHolder(h) {
+						notServing += " " + h.name
 					}
 				}
 			})
 			w.Run()
 			assert.Empty(t, w.Broken, "seed %d", w.Seed)
-			assert.Empty(t, waiting, "seed %d: hosts that do not serve yet", w.Seed)
+			assert.Empty(t, notServing, "seed %d: hosts that do not serve in time", w.Seed)
 		})
 	}
 	group.Wait()
 }
 
-// TestCalmAtSize: where each zone has a holder of its own, all zones are served from the
-// start of the load on.
-func TestCalmAtSize(t *testing.T) {
+// TestLargeDeploymentServesFromStart checks that all zones are served from the start of the
+// load where each zone has its own holder.
+func TestLargeDeploymentServesFromStart(t *testing.T) {
 	for _, hosts := range []int{30, 75} {
-		w := sized(hosts)
+		w := largeWorld(hosts)
 		w.Layout.Targets, w.Length, w.Drain = 16, 4*time.Second, 3*time.Second
 		w.Run()
 		assert.Empty(t, w.Broken)
-		asked, inTime := 0, 0
+		sent, inTime := 0, 0
 		for _, n := range w.Tally.Kinds {
-			asked, inTime = asked+n.Asked, inTime+n.InTime
+			sent, inTime = sent+n.Asked, inTime+n.InTime
 		}
-		assert.GreaterOrEqual(t, float64(inTime)/float64(asked), 0.97, "%d hosts", hosts)
+		assert.GreaterOrEqual(t, float64(inTime)/float64(sent), 0.97, "%d hosts", hosts)
 	}
 }
--- a/internal/modeler/store.go
+++ b/internal/modeler/store.go
@@ -8,176 +8,181 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// store is a model of the platform's store.
+// store simulates the platform's store.
 type store struct {
-	world   *World
-	down    bool
-	lost    bool // writes take effect and are not answered
-	delay   time.Duration
-	version uint64
-	claims  map[string]router.StoredClaim
-	members map[string]memberRow
-	entries map[string]router.Target
-	kept    map[string]router.SaveLearnedState // by zone
-	current *router.Config
+	world        *World
+	down         bool
+	dropsAnswers bool // writes take effect but are not answered
+	latency      time.Duration
+	version      uint64
+	claims       map[string]router.StoredClaim
+	members      map[string]memberRow
+	targets      map[string]router.Target
+	savedStates  map[string]router.SaveLearnedState // by zone
+	config       *router.Config
 }
 
 type memberRow struct {
-	member router.Member
-	lives  int
+	member        router.Member
+	registrations int
 }
 
-// storeTrip is the usual time of a call.
-const storeTrip = 4 * time.Millisecond
+// storeRoundTrip is the default duration of a call to the store.
+const storeRoundTrip = 4 * time.Millisecond
 
 func newStore(w *World) *store {
 	return &store{
-		world: w, delay: storeTrip, claims: make(map[string]router.StoredClaim),
-		members: make(map[string]memberRow), entries: make(map[string]router.Target),
-		kept: make(map[string]router.SaveLearnedState),
+		world: w, latency: storeRoundTrip, claims: make(map[string]router.StoredClaim),
+		members: make(map[string]memberRow), targets: make(map[string]router.Target),
+		savedStates: make(map[string]router.SaveLearnedState),
 	}
 }
 
-// reach runs a call at the store unless it is away, and reports whether it does.
-func (s *store) reach(h *host, call func()) bool {
+// invoke schedules a call at the store and returns true, or returns false if the host cannot
+// reach the store.
+func (s *store) invoke(h *host, operation func()) bool {
 	w := s.world
-	if s.down || !w.passes(h.name, h.zone, "store", "store") {
+	if s.down || !w.canReach(h.name, h.zone, "store", "store") {
 		return false
 	}
-	w.after(s.delay, call)
+	w.schedule(s.latency, operation)
 	return true
 }
 
-// enrol registers a host, later if the store is away.
-func (s *store) enrol(h *host) {
-	ok := s.reach(h, func() {
+// register registers a host and loads the learned state. It retries every 300 ms while the
+// store is unavailable.
+func (s *store) register(h *host) {
+	ok := s.invoke(h, func() {
 		row := s.members[h.address]
-		if row.lives == 0 {
+		if row.registrations == 0 {
 			row.member.Slot = len(s.members) + 1
 		}
-		row.lives++
+		row.registrations++
 		row.member = router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.router.Self.Incarnation, Slot: row.member.Slot}
 		s.members[h.address] = row
-		enrolled := router.Registered{Slot: row.member.Slot, SlotUses: row.lives}
-		for _, address := range sortedNames(s.members) {
-			enrolled.Members = append(enrolled.Members, s.members[address].member)
+		registered := router.Registered{Slot: row.member.Slot, SlotUses: row.registrations}
+		for _, address := range sortedKeys(s.members) {
+			registered.Members = append(registered.Members, s.members[address].member)
 		}
-		for _, zone := range sortedNames(s.claims) {
-			enrolled.Claims = append(enrolled.Claims, s.claims[zone])
+		for _, zone := range sortedKeys(s.claims) {
+			registered.Claims = append(registered.Claims, s.claims[zone])
 		}
-		h.later(0, func() { h.step(enrolled) })
-		s.recall(h)
+		h.schedule(0, func() { h.step(registered) })
+		s.loadLearnedState(h)
 	})
 	if !ok {
-		h.later(300*time.Millisecond, func() { s.enrol(h) })
+		h.schedule(300*time.Millisecond, func() { s.register(h) })
 	}
 }
 
-func (s *store) stake(h *host, e router.WriteClaims) {
-	ok := s.reach(h, func() {
-		claimed := s.write(e)
-		if !s.lost {
-			h.later(0, func() { h.step(claimed) })
+func (s *store) writeClaims(h *host, e router.WriteClaims) {
+	ok := s.invoke(h, func() {
+		written := s.applyClaims(e)
+		if !s.dropsAnswers {
+			h.schedule(0, func() { h.step(written) })
 		}
 	})
-	if late := lateWrite(e.Token); !ok && late > 0 {
-		s.world.after(late, func() { s.write(e) })
+	if delay := lateWriteDelay(e.Token); !ok && delay > 0 {
+		s.world.schedule(delay, func() { s.applyClaims(e) })
 	}
 }
 
-// lateWrite returns how long after it was sent a call is performed that could not reach
-// the store, or 0 for never: half of all, so that the same claim always fares alike.
-func lateWrite(token uint64) time.Duration {
-	const longest = 4096 // milliseconds
+// lateWriteDelay returns the delay after which the store executes a write that was sent
+// while the store was unreachable, or 0 if the write is lost. Half of the writes are lost.
+// The delay depends on the token only, so that a write of the same claims always has the
+// same outcome.
+func lateWriteDelay(token uint64) time.Duration {
+	const maxMillis = 4096
 	if token%2 == 0 {
 		return 0
 	}
-	return time.Duration(token*token%longest) * time.Millisecond
+	return time.Duration(token*token%maxMillis) * time.Millisecond
 }
 
-// write writes claims if none of their rows has changed.
-func (s *store) write(e router.WriteClaims) router.ClaimsWritten {
-	claimed := router.ClaimsWritten{Token: e.Token, Result: router.ClaimWon}
+// applyClaims writes claims if none of their rows has a new version.
+func (s *store) applyClaims(e router.WriteClaims) router.ClaimsWritten {
+	written := router.ClaimsWritten{Token: e.Token, Result: router.ClaimWon}
 	for _, row := range e.Rows {
 		if s.claims[row.Claim.Zone].Version != row.Version {
-			claimed.Result = router.ClaimConflict
+			written.Result = router.ClaimConflict
 		}
 	}
-	if claimed.Result == router.ClaimWon {
+	if written.Result == router.ClaimWon {
 		s.version++
 		for _, row := range e.Rows {
 			s.claims[row.Claim.Zone] = router.StoredClaim{Claim: row.Claim, Version: s.version}
 		}
 	}
 	for _, row := range e.Rows {
-		claimed.Rows = append(claimed.Rows, s.claims[row.Claim.Zone])
+		written.Rows = append(written.Rows, s.claims[row.Claim.Zone])
 	}
-	return claimed
+	return written
 }
 
-func (s *store) keep(h *host, e router.SaveLearnedState) {
-	s.reach(h, func() { s.kept[h.zone] = e })
+func (s *store) saveLearnedState(h *host, e router.SaveLearnedState) {
+	s.invoke(h, func() { s.savedStates[h.zone] = e })
 }
 
-func (s *store) recall(h *host) {
-	s.reach(h, func() {
+func (s *store) loadLearnedState(h *host) {
+	s.invoke(h, func() {
 		var e router.LearnedStateRead
-		for _, zone := range sortedNames(s.kept) {
-			e.Saved = append(e.Saved, s.kept[zone])
+		for _, zone := range sortedKeys(s.savedStates) {
+			e.Saved = append(e.Saved, s.savedStates[zone])
 		}
-		h.later(0, func() { h.step(e) })
+		h.schedule(0, func() { h.step(e) })
 	})
 }
 
-func (s *store) read(h *host) {
-	asked := s.world.now
-	ok := s.reach(h, func() {
-		d := router.Directory{Version: s.version}
-		for _, id := range sortedNames(s.entries) {
-			d.Targets = append(d.Targets, s.entries[id])
+func (s *store) readDirectory(h *host) {
+	requestedAt := s.world.now
+	ok := s.invoke(h, func() {
+		directory := router.Directory{Version: s.version}
+		for _, id := range sortedKeys(s.targets) {
+			directory.Targets = append(directory.Targets, s.targets[id])
 		}
-		h.later(0, func() { h.step(router.DirectoryRead{RequestedAt: asked, Directory: d}) })
+		h.schedule(0, func() { h.step(router.DirectoryRead{RequestedAt: requestedAt, Directory: directory}) })
 	})
 	if !ok {
-		h.later(500*time.Millisecond, func() { h.step(router.DirectoryReadFailed{}) })
+		h.schedule(500*time.Millisecond, func() { h.step(router.DirectoryReadFailed{}) })
 	}
 }
 
-func (s *store) config(h *host) {
-	s.reach(h, func() {
-		c := s.current
-		h.later(0, func() { h.step(router.Adopt{Config: c}) })
+func (s *store) readConfig(h *host) {
+	s.invoke(h, func() {
+		config := s.config
+		h.schedule(0, func() { h.step(router.Adopt{Config: config}) })
 	})
 }
 
-func (s *store) list(t *target) {
+func (s *store) listTarget(t *target) {
 	s.version++
-	s.entries[t.entry.ID] = t.entry
+	s.targets[t.entry.ID] = t.entry
 }
 
-func (s *store) unlist(t *target) {
+func (s *store) unlistTarget(t *target) {
 	s.version++
-	delete(s.entries, t.entry.ID)
+	delete(s.targets, t.entry.ID)
 }
 
-// lapse drops the entries of targets that cannot reach the store.
-func (s *store) lapse() {
-	for _, id := range sortedNames(s.world.targets) {
+// unlistUnreachable removes the entries of targets that cannot reach the store.
+func (s *store) unlistUnreachable() {
+	for _, id := range sortedKeys(s.world.targets) {
 		t := s.world.targets[id]
-		if !s.world.passes(id, t.entry.Zone, "store", "store") {
-			s.unlist(t)
+		if !s.world.canReach(id, t.entry.Zone, "store", "store") {
+			s.unlistTarget(t)
 		}
 	}
 }
 
-// relist brings back the entries of targets that live.
-func (s *store) relist() {
-	for _, id := range sortedNames(s.world.targets) {
+// relistRunning writes the entries of all running targets again.
+func (s *store) relistRunning() {
+	for _, id := range sortedKeys(s.world.targets) {
 		if t := s.world.targets[id]; t.up {
-			s.list(t)
+			s.listTarget(t)
 		}
 	}
 }
 
-// sortedNames returns a map's keys in order, so that plays repeat exactly.
-func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns a map's keys in order, so that a simulation with the same seed repeats
+// exactly.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/modeler/summary.go
+++ b/internal/modeler/summary.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// spanLength is the length, in seconds, of the spans of which the worst is told.
-const spanLength = 2
+// worstSpanSeconds is the length of the windows for Row.Worst.
+const worstSpanSeconds = 2
 
-// summarize joins the trials of one policy under one load.
-func summarize(trials []*trial) Row {
-	row := Row{Policy: trials[0].policy, Load: trials[0].load, Zones: make(map[string]float64), Kinds: make(map[string]KindRow)}
-	n := float64(len(trials))
+// summarize merges the simulations of one policy under one load.
+func summarize(simulations []*scenarioRun) Row {
+	row := Row{Policy: simulations[0].policy, Load: simulations[0].load, Zones: make(map[string]float64), Kinds: make(map[string]KindRow)}
+	n := float64(len(simulations))
 	zones := make(map[string]*Balance)
 	kinds := make(map[string]*Count)
 	seconds := make(map[int]*Balance)
-	for _, t := range trials {
+	for _, t := range simulations {
 		tally := &t.tally
 		row.Worth += tally.Worth() / n
-		row.Worst += tally.WorstSpan(spanLength) / n
+		row.Worst += tally.WorstSpan(worstSpanSeconds) / n
 		row.Bound += tally.Bound(t.capacity) / n
-		row.Broken = append(row.Broken, t.broken...)
+		row.Broken = append(row.Broken, t.violations...)
 		for zone, b := range tally.Zones {
-			join(zones, zone, b.Earned, b.Owed)
+			addBenefit(zones, zone, b.Earned, b.Owed)
 		}
-		for second, owed := range tally.Owed {
-			join(seconds, second, tally.Earned[second], owed)
+		for second, possible := range tally.Owed {
+			addBenefit(seconds, second, tally.Earned[second], possible)
 		}
 		for name, count := range tally.Kinds {
 			if kinds[name] == nil {
 				kinds[name] = &Count{}
 			}
-			kinds[name].add(count)
+			kinds[name].merge(count)
 		}
 	}
 	for zone, b := range zones {
 		row.Zones[zone] = b.Earned / max(b.Owed, 1e-9)
 	}
-	for second := range int(trials[0].scenario.Length / time.Second) {
+	for second := range int(simulations[0].scenario.Length / time.Second) {
 		if b := seconds[second]; b != nil {
 			row.Seconds = append(row.Seconds, b.Earned/max(b.Owed, 1e-9))
 		} else {
-			row.Seconds = append(row.Seconds, 1) // nothing was asked
+			row.Seconds = append(row.Seconds, 1) // no jobs were sent
 		}
 	}
 	for name, c := range kinds {
@@ -53,33 +53,33 @@
 	return row
 }
 
-// compare returns the mean difference in worth between trials of two policies with the same
-// seeds, and half of its 95 % interval.
-func compare(trials, base []*trial) (gain, margin float64) {
+// compare returns the mean difference in benefit between simulations of two policies with
+// the same seeds, and half of its 95 % confidence interval.
+func compare(simulations, base []*scenarioRun) (gain, margin float64) {
 	const deviations = 1.96
-	n := float64(len(trials))
-	squares := 0.0
-	for i, t := range trials {
-		d := t.tally.Worth() - base[i].tally.Worth()
-		gain += d / n
-		squares += d * d / n
+	n := float64(len(simulations))
+	squareSum := 0.0
+	for i, t := range simulations {
+		difference := t.tally.Worth() - base[i].tally.Worth()
+		gain += difference / n
+		squareSum += difference * difference / n
 	}
 	if n < 2 {
 		return gain, 0
 	}
-	return gain, deviations * math.Sqrt(max(squares-gain*gain, 0)/(n-1))
+	return gain, deviations * math.Sqrt(max(squareSum-gain*gain, 0)/(n-1))
 }
 
-func join[K comparable](list map[K]*Balance, key K, earned, owed float64) {
-	if list[key] == nil {
-		list[key] = &Balance{}
+func addBenefit[K comparable](balances map[K]*Balance, key K, achieved, possible float64) {
+	if balances[key] == nil {
+		balances[key] = &Balance{}
 	}
-	list[key].Earned += earned
-	list[key].Owed += owed
+	balances[key].Earned += achieved
+	balances[key].Owed += possible
 }
 
-// add joins the counts of another world.
-func (n *Count) add(other *Count) {
+// merge adds the counts of another simulation.
+func (n *Count) merge(other *Count) {
 	n.Asked += other.Asked
 	n.InTime += other.InTime
 	n.Late += other.Late
@@ -91,17 +91,17 @@
 	n.Took = append(n.Took, other.Took...)
 }
 
-// capacity returns the work in core-seconds that the targets can do until the last
-// answer can be in time.
+// capacity returns the work in core-seconds that the targets can do until the last moment
+// at which an answer can be in time.
 func (w *World) capacity() float64 {
 	cores := 0.0
-	for _, name := range w.names {
+	for _, name := range w.targetIDs {
 		t := w.targets[name]
-		cores += float64(t.entry.Capacity.CPU) / milli / t.slow
+		cores += float64(t.entry.Capacity.CPU) / milliPerCore / t.slow
 	}
-	longest := time.Duration(0)
+	maxObjective := time.Duration(0)
 	for _, c := range w.clients {
-		longest = max(longest, c.goal)
+		maxObjective = max(maxObjective, c.objective)
 	}
-	return cores * (w.Length + longest).Seconds()
+	return cores * (w.Length + maxObjective).Seconds()
 }
--- a/internal/modeler/tally.go
+++ b/internal/modeler/tally.go
@@ -8,42 +8,45 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Tally counts what callers got.
+// Tally counts the answers that clients received and their benefit.
 type Tally struct {
 	Starts int
-	// Tasks counts the tasks of the jobs that were completed.
+	// Tasks is the number of tasks of completed jobs.
 	Tasks int
 	Kinds map[string]*Count
-	// Returned counts clients that came back after a refusal, and Welcome those of
-	// them that were served then.
+	// Returned counts the jobs that were sent again after a refusal, and Welcome those of
+	// them that were completed then.
 	Returned, Welcome int
-	// Worth earned and owed, by second of the load.
+	// Earned and Owed are the benefit achieved and the benefit possible, by the second of
+	// the load in which the job was sent.
 	Earned, Owed map[int]float64
-	// Zones is the same by the client's zone.
+	// Zones is the benefit by the client's zone.
 	Zones map[string]*Balance
-	// Orders are what each job is worth and takes, for Bound.
+	// Orders lists the benefit and the work of each job, for Bound.
 	Orders []Order
 }
 
-// Balance is worth earned and owed.
+// Balance is the benefit achieved (Earned) and the benefit possible if all answers were in
+// time (Owed).
 type Balance struct{ Earned, Owed float64 }
 
-// Order is what an answer in time to a job is worth, and its work in core-seconds at a
-// usual target.
+// Order is the benefit of an answer in time to a job, and the job's work in core-seconds at
+// a default target.
 type Order struct{ Worth, Work float64 }
 
-// Count is what became of the jobs of one kind.
+// Count counts the outcomes of the jobs of one kind.
 type Count struct {
 	Asked, InTime, Late, Refused, Failed, Unknown int
 	Earned, Owed                                  float64
 	Took                                          []time.Duration
 	Reasons                                       map[router.Reason]int
-	// Works and Served are the work of each job and whether it was completed.
+	// Works is the work of each job in seconds, and Served tells by the index of the job
+	// whether it was completed.
 	Works  []float64
 	Served map[int]bool
 }
 
-func (t *Tally) count(c *client) *Count {
+func (t *Tally) countOf(c *client) *Count {
 	if t.Kinds == nil {
 		t.Kinds = make(map[string]*Count)
 		t.Earned, t.Owed = make(map[int]float64), make(map[int]float64)
@@ -57,149 +60,152 @@
 	return n
 }
 
-func (c *client) second() int { return int(c.sent.Sub(c.world.start) / time.Second) }
+func (c *client) sentSecond() int { return int(c.sentAt.Sub(c.world.start) / time.Second) }
 
-// worth is that of an answer in time: a part of it for the work.
-func (c *client) worth() float64 {
-	const base, most = 0.3, 4
-	mean := c.kind.Work.Seconds() * c.kind.Tasks
-	work := c.length * float64(c.job.Count)
-	return c.kind.Worth * min(base+(1-base)*work/mean, most)
+// benefit returns the benefit of an answer in time: a fixed part and a part in proportion
+// to the job's work, at most four times the mean.
+func (c *client) benefit() float64 {
+	const fixedShare, maxFactor = 0.3, 4
+	meanWork := c.kind.Work.Seconds() * c.kind.Tasks
+	work := c.taskSeconds * float64(c.job.Count)
+	return c.kind.Worth * min(fixedShare+(1-fixedShare)*work/meanWork, maxFactor)
 }
 
-func (t *Tally) asked(c *client) {
-	n := t.count(c)
-	c.place = n.Asked
+func (t *Tally) recordSubmitted(c *client) {
+	n := t.countOf(c)
+	c.index = n.Asked
 	n.Asked++
-	n.Works = append(n.Works, c.length*float64(c.job.Count))
-	n.Owed += c.worth()
-	t.Owed[c.second()] += c.worth()
+	n.Works = append(n.Works, c.taskSeconds*float64(c.job.Count))
+	n.Owed += c.benefit()
+	t.Owed[c.sentSecond()] += c.benefit()
 	if t.Zones[c.zone] == nil {
 		t.Zones[c.zone] = &Balance{}
 	}
-	t.Zones[c.zone].Owed += c.worth()
-	t.Orders = append(t.Orders, Order{Worth: c.worth(), Work: c.length * float64(c.job.Count*c.job.Need.CPU) / milli})
+	t.Zones[c.zone].Owed += c.benefit()
+	t.Orders = append(t.Orders, Order{Worth: c.benefit(), Work: c.taskSeconds * float64(c.job.Count*c.job.Need.CPU) / milliPerCore})
 }
 
-// lateWorth is the part of a late answer's worth.
-const lateWorth = 0.2
+// lateBenefit is the share of the benefit that a late answer still has.
+const lateBenefit = 0.2
 
-func (t *Tally) complete(c *client, took time.Duration) {
-	n := t.count(c)
-	n.Took = append(n.Took, took)
-	n.Served[c.place] = true
+func (t *Tally) recordComplete(c *client, responseTime time.Duration) {
+	n := t.countOf(c)
+	n.Took = append(n.Took, responseTime)
+	n.Served[c.index] = true
 	t.Tasks += c.job.Count
-	if c.returned {
+	if c.wasResent {
 		t.Welcome++
 	}
-	worth := 0.0
+	benefit := 0.0
 	switch {
-	case took <= c.goal:
+	case responseTime <= c.objective:
 		n.InTime++
-		worth = c.worth()
-	case took <= patienceFactor*c.goal:
+		benefit = c.benefit()
+	case responseTime <= timeoutFactor*c.objective:
 		n.Late++
-		worth = c.worth() * lateWorth
+		benefit = c.benefit() * lateBenefit
 	default:
 		n.Late++
 	}
-	n.Earned += worth
-	t.Earned[c.second()] += worth
-	t.Zones[c.zone].Earned += worth
+	n.Earned += benefit
+	t.Earned[c.sentSecond()] += benefit
+	t.Zones[c.zone].Earned += benefit
 }
 
-func (t *Tally) refuse(c *client, reason router.Reason) {
-	n := t.count(c)
+func (t *Tally) recordRefused(c *client, reason router.Reason) {
+	n := t.countOf(c)
 	n.Refused++
 	n.Reasons[reason]++
 }
 
-func (t *Tally) fail(c *client, reason router.Reason) {
-	n := t.count(c)
+func (t *Tally) recordFailed(c *client, reason router.Reason) {
+	n := t.countOf(c)
 	n.Failed++
 	n.Reasons[reason]++
 }
 
-func (t *Tally) unknown(c *client, reason router.Reason) {
-	n := t.count(c)
+func (t *Tally) recordUnknown(c *client, reason router.Reason) {
+	n := t.countOf(c)
 	n.Unknown++
 	n.Reasons[reason]++
 }
 
-// Worth returns the part of what was owed that was earned.
+// Worth returns the achieved share of the possible benefit.
 func (t *Tally) Worth() float64 {
-	earned, owed := 0.0, 0.0
-	for _, name := range sortedNames(t.Kinds) {
-		earned += t.Kinds[name].Earned
-		owed += t.Kinds[name].Owed
+	achieved, possible := 0.0, 0.0
+	for _, name := range sortedKeys(t.Kinds) {
+		achieved += t.Kinds[name].Earned
+		possible += t.Kinds[name].Owed
 	}
-	return earned / max(owed, 1e-9)
+	return achieved / max(possible, 1e-9)
 }
 
-// milli turns thousandths of a core into cores.
-const milli = 1000
+// milliPerCore converts thousandths of a core into cores.
+const milliPerCore = 1000
 
-// Bound returns more than any policy can earn of what was owed, with so much work in
-// core-seconds that the targets can do while answers are in time: the jobs with the most
-// worth for their work are answered in time, and all others late.
+// Bound returns an upper bound on the share of the possible benefit that any policy can
+// achieve. The capacity is the work in core-seconds that the targets can do while answers
+// are in time. The bound assumes that the jobs with the highest benefit per work are
+// answered in time, and all others late.
 func (t *Tally) Bound(capacity float64) float64 {
-	orders := slices.Clone(t.Orders)
-	slices.SortFunc(orders, func(a, b Order) int { return cmp.Compare(b.Worth*a.Work, a.Worth*b.Work) })
-	owed, earned := 0.0, 0.0
-	for _, o := range orders {
-		part := 1.0
-		if o.Work > 0 {
-			part = min(1, capacity/o.Work)
+	jobs := slices.Clone(t.Orders)
+	slices.SortFunc(jobs, func(a, b Order) int { return cmp.Compare(b.Worth*a.Work, a.Worth*b.Work) })
+	possible, achieved := 0.0, 0.0
+	for _, job := range jobs {
+		share := 1.0
+		if job.Work > 0 {
+			share = min(1, capacity/job.Work)
 		}
-		capacity -= part * o.Work
-		owed += o.Worth
-		earned += o.Worth * (part + (1-part)*lateWorth)
+		capacity -= share * job.Work
+		possible += job.Worth
+		achieved += job.Worth * (share + (1-share)*lateBenefit)
 	}
-	return earned / max(owed, 1e-9)
+	return achieved / max(possible, 1e-9)
 }
 
-// WorstSpan returns the least part earned over any span of so many seconds.
-func (t *Tally) WorstSpan(length int) float64 {
+// WorstSpan returns the lowest achieved share of the benefit over any window of a length
+// in seconds.
+func (t *Tally) WorstSpan(seconds int) float64 {
 	worst := 1.0
-	last := 0
+	lastSecond := 0
 	for second := range t.Owed {
-		last = max(last, second)
+		lastSecond = max(lastSecond, second)
 	}
-	for from := 0; from+length <= last+1; from++ {
-		earned, owed := 0.0, 0.0
-		for second := from; second < from+length; second++ {
-			earned += t.Earned[second]
-			owed += t.Owed[second]
+	for from := 0; from+seconds <= lastSecond+1; from++ {
+		achieved, possible := 0.0, 0.0
+		for second := from; second < from+seconds; second++ {
+			achieved += t.Earned[second]
+			possible += t.Owed[second]
 		}
-		worst = min(worst, earned/max(owed, 1e-9))
+		worst = min(worst, achieved/max(possible, 1e-9))
 	}
 	return worst
 }
 
-// Large returns how often the largest tenth of the jobs was completed, over how
-// often all were.
+// Large returns the completed share of the largest tenth of the jobs, divided by the
+// completed share of all jobs.
 func (n *Count) Large() float64 {
 	sorted := slices.Clone(n.Works)
 	slices.Sort(sorted)
 	if len(sorted) == 0 || len(n.Served) == 0 {
 		return 1
 	}
-	const part = 0.9
-	bound := sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
-	large, served := 0, 0
+	const largeQuantile = 0.9
+	minWork := sorted[min(int(largeQuantile*float64(len(sorted))), len(sorted)-1)]
+	large, completed := 0, 0
 	for i, work := range n.Works {
-		if work >= bound {
+		if work >= minWork {
 			large++
 			if n.Served[i] {
-				served++
+				completed++
 			}
 		}
 	}
-	all := float64(len(n.Served)) / float64(len(n.Works))
-	return float64(served) / float64(large) / all
+	completedShare := float64(len(n.Served)) / float64(len(n.Works))
+	return float64(completed) / float64(large) / completedShare
 }
 
-// Quantile returns a quantile of the answer times of a kind.
+// Quantile returns a quantile of the response times of the completed jobs.
 func (n *Count) Quantile(q float64) time.Duration {
 	if len(n.Took) == 0 {
 		return 0
--- a/internal/modeler/world.go
+++ b/internal/modeler/world.go
@@ -1,6 +1,7 @@
-// Package modeler plays deployments of entry hosts in virtual time: the real
-// routers against model targets, a model store and a model network, with load and
-// faults. It checks what must always hold and counts what callers get.
+// Package modeler simulates deployments of entry hosts in virtual time. The real
+// routers run against simulated targets, a simulated store and a simulated network,
+// under load and faults. The simulation checks invariants and counts the answers that
+// clients receive.
 package modeler
 
 import (
@@ -15,142 +16,146 @@
 // Layout is the size of a deployment.
 type Layout struct {
 	Zones   []string
-	Hosts   int // a zone
-	Targets int // a zone
-	// Room is that of a usual target. Every third one is half as large again
-	// and takes SlowFactor times as long.
+	Hosts   int // per zone
+	Targets int // per zone
+	// Room is the capacity of a default target. Every third target has 1.5 times this
+	// capacity, and its run times are multiplied by SlowFactor.
 	Room       router.Resources
 	SlowFactor float64
-	// Hop is the one-way delay between zones, Near within one.
+	// Hop is the one-way network delay between zones, Near the delay within a zone.
 	Hop, Near time.Duration
 }
 
-// World is one deployment. The exported fields are set before Run.
+// World is the simulation of one deployment. The exported fields down to Trace are set
+// before Run.
 type World struct {
 	Layout Layout
 	Kinds  []Kind
-	// Load multiplies the rates of all kinds.
+	// Load multiplies the arrival rates of all kinds of job.
 	Load   float64
 	Faults []Fault
-	// Warm is the time before the load begins, Length that of the load, and
-	// Drain the time after it.
+	// Warm is the time before the load begins, Length the duration of the load, and
+	// Drain the time that is simulated after it.
 	Warm, Length, Drain time.Duration
 	Seed                uint64
 	Bounds              router.Bounds
-	// Policy is that of all hosts.
+	// Policy is the policy of all hosts.
 	Policy router.Policy
-	// Lost is the share of orders that are not answered and carried out late.
+	// Lost is the share of orders that targets execute 2 to 11 s late and do not answer.
 	Lost float64
-	// Returns makes clients that were refused come back once, when they were told to.
+	// Returns makes clients retry a refused job once, after the delay in the answer.
 	Returns bool
-	// Mute is the share of orders that are carried out and not answered.
+	// Mute is the share of orders and renewals that targets execute without their answer
+	// reaching the host.
 	Mute float64
 
-	// Trace is told of each decision, with the time since the start of the load
-	// and the host's name. It may be nil.
+	// Trace is called for each decision with the time since the start of the load and
+	// the host's name. It may be nil.
 	Trace func(at time.Duration, host string, e router.Decision)
 
-	now     time.Time
-	start   time.Time
-	agenda  agenda
-	order   uint64
-	random  *rand.Rand
-	jobs    *rand.Rand // for what clients send: the same under any policy
-	network *rand.Rand // for delays, so that the number of messages changes nothing else
-	hosts   []*host
-	byLink  map[string]*host
-	targets map[string]*target
-	names   []string
-	store   *store
-	cuts    map[[2]string]bool
-	live    map[string]string // running tasks and their targets
-	starts  map[string]int    // by job
-	done    map[string]map[string]bool
-	clients map[string]*client
-	number  int
-	// Broken lists what did not hold.
+	now            time.Time
+	start          time.Time
+	events         eventQueue
+	lastSequence   uint64
+	random         *rand.Rand
+	jobRandom      *rand.Rand // for the jobs of clients, so that they are the same under any policy
+	networkRandom  *rand.Rand // for delays, so that the number of messages affects no other random value
+	hosts          []*host
+	hostsByAddress map[string]*host
+	targets        map[string]*target
+	targetIDs      []string
+	store          *store
+	partitions     map[[2]string]bool
+	runningTasks   map[string]string // by task, a description of its run
+	startCounts    map[string]int    // by job ID
+	finishedTasks  map[string]map[string]bool
+	clients        map[string]*client
+	lastNumber     int
+	// Broken lists the violations of invariants, at most 20.
 	Broken []string
 	Tally  Tally
 }
 
-// entry is something that happens at a time.
-type entry struct {
-	at    time.Time
-	order uint64
-	do    func()
+// scheduledEvent is an action at a moment of virtual time. The sequence number
+// decides between events at the same moment.
+type scheduledEvent struct {
+	at       time.Time
+	sequence uint64
+	action   func()
 }
 
-// agenda is a heap of entries.
-type agenda []entry
+// eventQueue is a heap of events, earliest first.
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if a[i].at.Equal(a[j].at) {
-		return a[i].order < a[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at.Equal(q[j].at) {
+		return q[i].sequence < q[j].sequence
 	}
-	return a[i].at.Before(a[j].at)
+	return q[i].at.Before(q[j].at)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(entry)) }
-func (a *agenda) Pop() any {
-	old := *a
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = entry{}
-	*a = old[:len(old)-1]
+	old[len(old)-1] = scheduledEvent{}
+	*q = old[:len(old)-1]
 	return last
 }
 
-// after plans something.
-func (w *World) after(d time.Duration, do func()) {
-	w.begin()
-	w.order++
-	heap.Push(&w.agenda, entry{at: w.now.Add(d), order: w.order, do: do})
+// schedule plans an action after a delay.
+func (w *World) schedule(d time.Duration, action func()) {
+	w.startClock()
+	w.lastSequence++
+	heap.Push(&w.events, scheduledEvent{at: w.now.Add(d), sequence: w.lastSequence, action: action})
 }
 
-// epoch is when the virtual time begins.
+// epoch is the start of virtual time in Unix seconds.
 const epoch = 1_800_000_000
 
-// begin sets the clock, before anything is planned.
-func (w *World) begin() {
+// startClock sets the virtual clock to the epoch unless it is running.
+func (w *World) startClock() {
 	if w.now.IsZero() {
 		w.now = time.Unix(epoch, 0)
 	}
 }
 
-// Run plays the world.
+// Run simulates the deployment to the end of its drain period.
 func (w *World) Run() {
-	w.begin()
+	w.startClock()
 	w.start = w.now.Add(w.Warm)
 	w.random = rand.New(rand.NewPCG(w.Seed, 1))
-	w.jobs = rand.New(rand.NewPCG(w.Seed, 2))
-	w.network = rand.New(rand.NewPCG(w.Seed, 3))
-	w.byLink = make(map[string]*host)
+	w.jobRandom = rand.New(rand.NewPCG(w.Seed, 2))
+	w.networkRandom = rand.New(rand.NewPCG(w.Seed, 3))
+	w.hostsByAddress = make(map[string]*host)
 	w.targets = make(map[string]*target)
-	w.cuts = make(map[[2]string]bool)
-	w.live = make(map[string]string)
-	w.starts = make(map[string]int)
-	w.done = make(map[string]map[string]bool)
+	w.partitions = make(map[[2]string]bool)
+	w.runningTasks = make(map[string]string)
+	w.startCounts = make(map[string]int)
+	w.finishedTasks = make(map[string]map[string]bool)
 	w.clients = make(map[string]*client)
 	w.store = newStore(w)
-	w.build()
-	w.arrive()
+	w.createDeployment()
+	w.scheduleArrivals()
 	for _, f := range w.Faults {
-		w.plan(f)
+		w.scheduleFault(f)
 	}
 	end := w.start.Add(w.Length + w.Drain)
-	for len(w.agenda) > 0 {
-		e := heap.Pop(&w.agenda).(entry)
+	for len(w.events) > 0 {
+		e := heap.Pop(&w.events).(scheduledEvent)
 		if e.at.After(end) {
 			break
 		}
 		w.now = e.at
-		e.do()
+		e.action()
 	}
-	w.close()
+	w.checkFinalState()
 }
 
-// build makes the hosts and targets.
-func (w *World) build() {
+// createDeployment creates the targets and the hosts, and starts each host at a random
+// moment within 300 ms.
+func (w *World) createDeployment() {
 	for z, zone := range w.Layout.Zones {
 		for i := range w.Layout.Targets {
 			w.addTarget(fmt.Sprintf("t%d-%02d", z, i), zone, i)
@@ -159,34 +164,35 @@
 			h := &host{world: w, name: fmt.Sprintf("h%d-%d", z, i), zone: zone}
 			h.address = fmt.Sprintf("10.%d.0.%d:1", z+1, i+1)
 			w.hosts = append(w.hosts, h)
-			w.byLink[h.address] = h
-			w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), h.boot)
+			w.hostsByAddress[h.address] = h
+			w.schedule(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
 		}
 	}
 }
 
-// broken notes that something did not hold.
-func (w *World) broken(format string, args ...any) {
+// recordViolation adds the violation of an invariant with its time.
+func (w *World) recordViolation(format string, args ...any) {
 	if len(w.Broken) < 20 {
 		w.Broken = append(w.Broken, fmt.Sprintf("%.3f s: ", w.now.Sub(w.start).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// delay returns the one-way time between two zones, with a little jitter.
+// delay returns the one-way network delay between two zones, with a jitter of up to
+// 200 µs.
 func (w *World) delay(a, b string) time.Duration {
 	d := w.Layout.Hop
 	if a == b {
 		d = w.Layout.Near
 	}
-	return d + time.Duration(w.network.Int64N(int64(200*time.Microsecond)))
+	return d + time.Duration(w.networkRandom.Int64N(int64(200*time.Microsecond)))
 }
 
-// passes reports whether messages get from one place to another. Places are
-// zones, names of hosts and targets, and "store".
-func (w *World) passes(from, fromZone, to, toZone string) bool {
+// canReach reports whether no partition blocks messages from one place to another.
+// Places are zones, names of hosts and targets, and "store".
+func (w *World) canReach(from, fromZone, to, toZone string) bool {
 	for _, a := range []string{from, fromZone} {
 		for _, b := range []string{to, toZone} {
-			if a != b && w.cuts[[2]string{a, b}] {
+			if a != b && w.partitions[[2]string{a, b}] {
 				return false
 			}
 		}
--- a/internal/modeler/world_test.go
+++ b/internal/modeler/world_test.go
@@ -9,34 +9,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// usersWorld is a site of the users.
-func usersWorld(load float64, length time.Duration, faults ...Fault) *World {
+// testWorld returns the Restrepo site under a load with faults.
+func testWorld(load float64, length time.Duration, faults ...Fault) *World {
 	w := Restrepo()
 	w.Load, w.Length, w.Faults = load, length, faults
 	return &w
 }
 
-func report(t *testing.T, w *World) {
+func logResults(t *testing.T, w *World) {
 	t.Helper()
-	for _, name := range sortedNames(w.Tally.Kinds) {
+	for _, name := range sortedKeys(w.Tally.Kinds) {
 		n := w.Tally.Kinds[name]
-		t.Logf("%-9s asked %d in time %d late %d refused %d failed %d unknown %d, p50 %v p99 %v, %v", name, n.Asked, n.InTime, n.Late,
+		t.Logf("%-9s sent %d in time %d late %d refused %d failed %d unknown %d, p50 %v p99 %v, %v", name, n.Asked, n.InTime, n.Late,
 			n.Refused, n.Failed, n.Unknown, n.Quantile(0.5), n.Quantile(0.99), n.Reasons)
 	}
-	t.Logf("worth %.3f, worst 2 s %.3f, starts %d", w.Tally.Worth(), w.Tally.WorstSpan(2), w.Tally.Starts)
+	t.Logf("benefit %.3f, worst 2 s %.3f, starts %d", w.Tally.Worth(), w.Tally.WorstSpan(2), w.Tally.Starts)
 }
 
-// TestCalm plays a calm day: everything is answered in time.
-func TestCalm(t *testing.T) {
-	w := usersWorld(0.6, 10*time.Second)
+// TestLightLoadIsAnsweredInTime checks that nearly all jobs are answered in time under light
+// load without faults.
+func TestLightLoadIsAnsweredInTime(t *testing.T) {
+	w := testWorld(0.6, 10*time.Second)
 	w.Run()
-	report(t, w)
+	logResults(t, w)
 	require.Empty(t, w.Broken)
 	assert.GreaterOrEqual(t, w.Tally.Worth(), 0.98)
 }
 
-// TestFaults plays each fault by itself, on holders and others.
-func TestFaults(t *testing.T) {
+// TestInvariantsHoldUnderEachFault injects each fault alone, into holders and other hosts.
+func TestInvariantsHoldUnderEachFault(t *testing.T) {
 	second := time.Second
 	for _, f := range []Fault{
 		{Trouble: Kill, Where: "holder", For: second},
@@ -66,9 +67,9 @@
 		f.At = 4 * second
 		t.Run(fmt.Sprintf("%s-%s", f.Trouble, f.Where), func(t *testing.T) {
 			t.Parallel()
-			w := usersWorld(0.8, 14*second, f)
+			w := testWorld(0.8, 14*second, f)
 			w.Run()
-			report(t, w)
+			logResults(t, w)
 			assert.Empty(t, w.Broken)
 			assert.GreaterOrEqual(t, w.Tally.Worth(), 0.5)
 		})
