--- a/internal/modeler/client.go
+++ b/internal/modeler/client.go
@@ -231,7 +231,6 @@
 	}
 }
 
-// recordFinishedTask records that a task is done.
 func (w *World) recordFinishedTask(task string) {
 	id, index := jobID(task), task[strings.LastIndexByte(task, '.')+1:]
 	if w.finishedTasks[id] == nil {
--- a/internal/modeler/fault.go
+++ b/internal/modeler/fault.go
@@ -50,7 +50,6 @@
 	Times   float64 // factor of the arrival rate for Surge
 }
 
-// scheduleFault schedules a fault.
 func (w *World) scheduleFault(f Fault) {
 	w.schedule(f.At+w.Warm, func() { w.injectFault(f) })
 }
