--- a/internal/scheduler/baseline.go
+++ b/internal/scheduler/baseline.go
@@ -2,14 +2,14 @@
 
 import "math/rand/v2"
 
-// Scatter is the Placer that measurements compare with: it takes any usable
-// target that appears to have a free slot, at random.
+// Scatter is a Placer that chooses a usable target with a free slot at random. It
+// is the baseline that benchmarks compare Spreader with.
 type Scatter struct {
-	// Random chooses the target.
+	// Random is the source of random numbers.
 	Random *rand.Rand
 }
 
-// place returns a usable target with a free slot.
+// place returns a random usable target with a free slot.
 func (x Scatter) place(s *Scheduler, p *pool) *target {
 	if len(p.targets) == 0 {
 		return nil
@@ -17,7 +17,7 @@
 	first := x.Random.IntN(len(p.targets))
 	for i := range p.targets {
 		t := p.targets[(first+i)%len(p.targets)]
-		if t.usable() && t.free(s.now) > 0 {
+		if t.isUsable() && t.freeSlots(s.now) > 0 {
 			return t
 		}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,16 +14,17 @@
 	"github.com/shallotrouter/shallotrouter/internal/declarer"
 )
 
-// crowd is a scheduler with many clients, all with work waiting.
-type crowd struct {
+// busyHost is a scheduler with many clients, all of which have waiting tasks.
+type busyHost struct {
 	*Scheduler
-	now     time.Time
-	flying  []Start
-	request uint64
+	now      time.Time
+	inFlight []Start
+	request  uint64
 }
 
-// newCrowd queues so many tasks of so many clients, on full targets.
-func newCrowd(tb testing.TB, clients, targets, queued int) *crowd {
+// newBusyHost returns a scheduler with full targets and at least the given number of
+// queued tasks.
+func newBusyHost(tb testing.TB, clients, targets, queued int) *busyHost {
 	var text strings.Builder
 	text.WriteString("[service s]\nslots = 8\norder = least\n[preset ordinary]\nqueue = 1000000\n")
 	for i := range clients {
@@ -35,7 +36,7 @@
 	require.NoError(tb, err)
 	bounds := Standard()
 	bounds.Waiting = 2 * queued
-	c := &crowd{now: time.Unix(1000, 0), Scheduler: &Scheduler{Host: "h", Zone: "z", Bounds: bounds, Incarnation: 1}}
+	c := &busyHost{now: time.Unix(1000, 0), Scheduler: &Scheduler{Host: "h", Zone: "z", Bounds: bounds, Incarnation: 1}}
 	c.step(Adopt{Config: config})
 	d := directory(1, targets)
 	c.step(Locate{Directory: d})
@@ -46,16 +47,16 @@
 }
 
 // step applies an event and collects the starts.
-func (c *crowd) step(e Event) {
+func (c *busyHost) step(e Event) {
 	c.now = c.now.Add(10 * time.Microsecond)
 	for _, x := range c.Step(c.now, e) {
 		if s, ok := x.(Start); ok {
-			c.flying = append(c.flying, s)
+			c.inFlight = append(c.inFlight, s)
 		}
 	}
 }
 
-func (c *crowd) submit(client, tasks int) {
+func (c *busyHost) submit(client, tasks int) {
 	c.request++
 	job := shallotrouter.Job{Service: "s", Deadline: shallotrouter.Duration(time.Hour), Tasks: make([]shallotrouter.Task, tasks)}
 	for i := range job.Tasks {
@@ -64,26 +65,26 @@
 	c.step(Submit{Request: c.request, Client: fmt.Sprint("c", client), Job: job})
 }
 
-// turn ends one task, and submits a job of 20 tasks for each 20 that end.
-func (c *crowd) turn(i int) {
-	s := c.flying[0]
-	c.flying = c.flying[1:]
+// endAndSubmit ends one task and submits a job of 20 tasks after every 20 ends.
+func (c *busyHost) endAndSubmit(i int) {
+	s := c.inFlight[0]
+	c.inFlight = c.inFlight[1:]
 	c.step(Finish{Number: s.Number, Task: s.Task, Target: s.Target, Result: Done, Elapsed: 300 * time.Millisecond})
 	if i%20 == 0 {
 		c.submit(i/20%150, 20)
 	}
 }
 
-// BenchmarkStep measures events of a busy host by the length of its queue.
+// BenchmarkStep measures the events of a busy host for several queue lengths.
 func BenchmarkStep(b *testing.B) {
 	for _, queued := range []int{1_000, 10_000, 100_000} {
 		for _, targets := range []int{17, 86} {
 			b.Run(fmt.Sprintf("queued=%d/targets=%d", queued, targets), func(b *testing.B) {
-				c := newCrowd(b, 150, targets, queued)
+				c := newBusyHost(b, 150, targets, queued)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					c.turn(i + 1)
+					c.endAndSubmit(i + 1)
 				}
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 			})
@@ -91,8 +92,8 @@
 	}
 }
 
-// peersOf makes reports of so many peers with every client and target.
-func peersOf(hosts, clients, targets int) []Report {
+// peerReports returns one report for each peer, with all clients and targets.
+func peerReports(hosts, clients, targets int) []Report {
 	var list []Report
 	for h := range hosts {
 		r := Report{Host: fmt.Sprint("p", h), Zone: "z", Incarnation: 1}
@@ -107,12 +108,12 @@
 	return list
 }
 
-// BenchmarkTick measures a tick by hosts, clients and targets.
+// BenchmarkTick measures a tick for several numbers of hosts, clients and targets.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ hosts, clients, targets int }{{3, 10, 17}, {3, 150, 17}, {3, 150, 86}, {6, 150, 86}} {
 		b.Run(fmt.Sprintf("hosts=%d/clients=%d/targets=%d", size.hosts, size.clients, size.targets), func(b *testing.B) {
-			c := newCrowd(b, size.clients, size.targets, 10_000)
-			for _, r := range peersOf(size.hosts-1, size.clients, size.targets) {
+			c := newBusyHost(b, size.clients, size.targets, 10_000)
+			for _, r := range peerReports(size.hosts-1, size.clients, size.targets) {
 				c.step(Hear{Report: r})
 			}
 			b.ReportAllocs()
@@ -124,12 +125,13 @@
 	}
 }
 
-// BenchmarkHear measures a peer's report by clients and targets.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkPeerReport measures the handling of a peer's report for several numbers of
+// hosts, clients and targets.
+func BenchmarkPeerReport(b *testing.B) {
 	for _, size := range []struct{ hosts, clients, targets int }{{3, 10, 17}, {3, 150, 86}, {6, 150, 86}} {
 		b.Run(fmt.Sprintf("hosts=%d/clients=%d/targets=%d", size.hosts, size.clients, size.targets), func(b *testing.B) {
-			c := newCrowd(b, size.clients, size.targets, 10_000)
-			reports := peersOf(size.hosts-1, size.clients, size.targets)
+			c := newBusyHost(b, size.clients, size.targets, 10_000)
+			reports := peerReports(size.hosts-1, size.clients, size.targets)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -139,36 +141,36 @@
 	}
 }
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapBytes returns the size of the live heap after a garbage collection.
+func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkMemory measures the bytes of a waiting task without its payload.
+// BenchmarkMemory measures the memory of a waiting task without its payload.
 func BenchmarkMemory(b *testing.B) {
 	const few, many = 10_000, 110_000
 	for range b.N {
-		before := heap()
-		small := newCrowd(b, 150, 17, few)
-		middle := heap()
-		large := newCrowd(b, 150, 17, many)
-		after := heap()
+		before := heapBytes()
+		small := newBusyHost(b, 150, 17, few)
+		middle := heapBytes()
+		large := newBusyHost(b, 150, 17, many)
+		after := heapBytes()
 		b.ReportMetric(((after-middle)-(middle-before))/(many-few), "B/task")
 		runtime.KeepAlive(small)
 		runtime.KeepAlive(large)
 	}
 }
 
-// TestStepCostIsFlat requires that the work of an event does not grow with the
-// queue, counted in allocations.
+// TestStepCostIsFlat requires that the number of allocations of an event does not
+// grow with the queue.
 func TestStepCostIsFlat(t *testing.T) {
 	cost := func(queued int) float64 {
-		c := newCrowd(t, 150, 17, queued)
+		c := newBusyHost(t, 150, 17, queued)
 		i := 0
-		return testing.AllocsPerRun(2000, func() { i++; c.turn(i) })
+		return testing.AllocsPerRun(2000, func() { i++; c.endAndSubmit(i) })
 	}
 	assert.InDelta(t, cost(10_000), cost(100_000), 1)
 }
--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -1,50 +1,54 @@
 package scheduler
 
-// record is what a host remembers of the failures of one client's tasks of one
-// kind, to tell a job that can never run from a target that fails.
-type record struct {
-	rate   float64 // part of the tasks that failed, smoothed
-	target string  // where the last one failed
-	spread bool    // the failures are on different targets
+// failureRecord holds failure statistics of one client's tasks for one service. It
+// serves to attribute a failure to the client or to the target.
+type failureRecord struct {
+	failureRate    float64 // smoothed fraction of the tasks that failed
+	lastTarget     string  // target of the last failure
+	severalTargets bool    // the failures occurred at different targets
 }
 
 const (
-	// recordGain is the weight of one task in a record's rate.
-	recordGain = 0.05
-	// hopelessRate is the failure rate from which the client is to blame.
-	hopelessRate = 0.3
-	// maxRecords bounds the records of a host.
-	maxRecords = 4096
+	// failureRateGain is the weight of one task in the smoothed failure rate.
+	failureRateGain = 0.05
+	// alwaysFailingRate is the failure rate at or above which failures at several
+	// targets are attributed to the client.
+	alwaysFailingRate = 0.3
+	// maxFailureRecords limits the records of a host; at the limit all are dropped.
+	maxFailureRecords = 4096
 )
 
-// fail notes a failure.
-func (r *record) fail(target string) {
-	r.rate += (1 - r.rate) * recordGain
-	r.spread = r.spread || (r.target != "" && r.target != target)
-	r.target = target
+// addFailure records a failed task at the target.
+func (r *failureRecord) addFailure(target string) {
+	r.failureRate += (1 - r.failureRate) * failureRateGain
+	r.severalTargets = r.severalTargets || (r.lastTarget != "" && r.lastTarget != target)
+	r.lastTarget = target
 }
 
-// pass notes a success.
-func (r *record) pass() {
-	r.rate -= r.rate * recordGain
-	if r.rate < hopelessRate/2 {
-		r.spread = false
+// addSuccess records a task that ended well.
+func (r *failureRecord) addSuccess() {
+	r.failureRate -= r.failureRate * failureRateGain
+	if r.failureRate < alwaysFailingRate/2 {
+		r.severalTargets = false
 	}
 }
 
-// hopeless reports whether the tasks fail wherever they run.
-func (r *record) hopeless() bool { return r.spread && r.rate >= hopelessRate }
+// failsEverywhere reports whether the client's tasks fail at any target.
+func (r *failureRecord) failsEverywhere() bool {
+	return r.severalTargets && r.failureRate >= alwaysFailingRate
+}
 
-// blames returns the record of the job's client and service.
-func (s *Scheduler) blames(j *job) *record {
+// failureRecordOf returns the record of the job's client and service. It creates
+// the record if there is none.
+func (s *Scheduler) failureRecordOf(j *job) *failureRecord {
 	key := j.service + "\x00" + j.client
-	r := s.records[key]
+	r := s.failureRecords[key]
 	if r == nil {
-		if len(s.records) >= maxRecords {
-			clear(s.records)
+		if len(s.failureRecords) >= maxFailureRecords {
+			clear(s.failureRecords)
 		}
-		r = &record{}
-		s.records[key] = r
+		r = &failureRecord{}
+		s.failureRecords[key] = r
 	}
 	return r
 }
--- a/internal/scheduler/effect.go
+++ b/internal/scheduler/effect.go
@@ -6,10 +6,10 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// Effect is an output of Scheduler.Step, to be carried out in order.
+// Effect is an output of Scheduler.Step. The caller executes effects in order.
 type Effect interface{ effect() }
 
-// Start sends one task to one target. It is followed by exactly one Finish.
+// Start sends one task to one target. Exactly one Finish event must follow.
 type Start struct {
 	Number  uint64
 	Task    int
@@ -19,9 +19,9 @@
 	Address string
 	Kind    string
 	Payload []byte
-	// By is when the target must have begun; later it refuses the task.
+	// By is the time until which the target may start the task; later it refuses it.
 	By time.Time
-	// Until is when the task counts as lost if no answer has come.
+	// Until is the time at which the task counts as lost if there is no answer.
 	Until time.Time
 }
 
@@ -33,13 +33,15 @@
 	Answer shallotrouter.Answer
 }
 
-// Shown answers an Inspect request. Answer is nil for a job that is not final.
+// Shown answers an Inspect request. The Answer in State is nil while the job has no
+// final answer.
 type Shown struct {
 	Request uint64
 	State   shallotrouter.State
 }
 
-// Issued answers an Issue request with numbers from First on, or with Err.
+// Issued answers an Issue request with Count ticket numbers from First on, or with
+// Err.
 type Issued struct {
 	Request uint64
 	First   uint64
@@ -48,32 +50,32 @@
 	Err     *shallotrouter.Error
 }
 
-// Publish hands the host's report to the peers.
+// Publish sends the host's report to all peers.
 type Publish struct{ Report Report }
 
-// Refresh asks for the configuration and the directory to be read at once.
+// Refresh requests to read the configuration and the directory at once.
 type Refresh struct{}
 
 // Retire closes the idle connections to a target.
 type Retire struct{ Target string }
 
-// Action is what a decision did.
+// Action is the kind of a decision.
 type Action string
 
 const (
-	// Admit marks a job that was queued.
+	// Admit means that a job was admitted and queued.
 	Admit Action = "admit"
-	// Place marks a task that was given to a target.
+	// Place means that a task was sent to a target.
 	Place Action = "place"
-	// Requeue marks a task that is to be placed again.
+	// Requeue means that a task did not start and is queued again.
 	Requeue Action = "requeue"
-	// Finalize marks a job that got its final answer.
+	// Finalize means that a job got its final answer or was refused.
 	Finalize Action = "finalize"
-	// Mark marks a change of state of a target, peer or the host itself.
+	// Mark means that the state of a target, a peer or the host itself changed.
 	Mark Action = "mark"
 )
 
-// Decide is one routing or placement decision for the log.
+// Decide reports one routing or placement decision for the log.
 type Decide struct {
 	Action  Action
 	Number  uint64
@@ -84,13 +86,13 @@
 	Reason  string
 }
 
-// Violate reports a broken invariant. It is a defect of the program.
+// Violate reports a broken invariant, which is a defect of the program.
 type Violate struct {
 	Invariant string
 	Detail    string
 }
 
-// Halt tells that the drain is over and the process may end.
+// Halt reports that the drain is over and the process may exit.
 type Halt struct{}
 
 func (Start) effect()   {}
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -10,43 +10,44 @@
 // Event is an input of Scheduler.Step.
 type Event interface{ event() }
 
-// Tick tells that time has passed. It comes at least every Bounds.Tick.
+// Tick lets the scheduler act on the passing of time. It must come at least every
+// Bounds.Tick.
 type Tick struct{}
 
-// Issue asks for a block of tickets. It is answered by an Issued effect.
+// Issue requests a block of tickets. It is answered by an Issued effect.
 type Issue struct {
 	Request uint64
 	Client  string
 	Count   int
 }
 
-// Submit asks to run a job. It is answered by one Reply effect, at once or when
-// the job is final. Number is 0 for an idempotent job without a ticket.
+// Submit requests to run a job. It is answered by one Reply effect, at once or when
+// the job has its final answer. Number is 0 for an idempotent job without a ticket.
 type Submit struct {
 	Request uint64
 	Client  string
 	Number  uint64
 	Job     shallotrouter.Job
-	// Digest tells jobs apart: a ticket is good for one job only. Zero is not
-	// compared.
+	// Digest identifies the content of the job: a ticket is valid for one job only.
+	// A zero digest is not compared.
 	Digest uint64
 }
 
-// Inspect asks for the state of a job. It is answered by a Shown effect.
+// Inspect requests the state of a job. It is answered by a Shown effect.
 type Inspect struct {
 	Request uint64
 	Client  string
 	Number  uint64
 }
 
-// Cancel withdraws a job. It is answered by one Reply effect.
+// Cancel requests to cancel a job. It is answered by one Reply effect.
 type Cancel struct {
 	Request uint64
 	Client  string
 	Number  uint64
 }
 
-// Result is how one start of a task ended.
+// Result is the result of one start of a task.
 type Result string
 
 const (
@@ -54,7 +55,7 @@
 	Done Result = "done"
 	// Wrong means that the target ran the task and reported a failure.
 	Wrong Result = "wrong"
-	// Lost means that the task's fate is unknown.
+	// Lost means that no answer arrived: the task may or may not have run.
 	Lost Result = "lost"
 	// Busy means that the target refused before starting: no slot was free.
 	Busy Result = "busy"
@@ -70,7 +71,8 @@
 // Started reports whether the task may have started.
 func (r Result) Started() bool { return r == Done || r == Wrong || r == Lost }
 
-// Finish tells how a Start effect ended. There is exactly one for each.
+// Finish reports the result of a Start effect. Each Start effect is followed by
+// exactly one Finish event.
 type Finish struct {
 	Number  uint64
 	Task    int
@@ -78,27 +80,30 @@
 	Result  Result
 	Payload []byte
 	Message string
-	// Elapsed is the time from the send to the answer.
+	// Elapsed is the time from sending the task to the answer.
 	Elapsed time.Duration
 }
 
-// Hear brings the whole current report of a peer.
+// Hear delivers the complete current report of a peer.
 type Hear struct{ Report Report }
 
-// Adopt brings a configuration; it is taken only when its version is higher.
+// Adopt delivers a configuration. It is ignored unless its version is higher than
+// that of the current configuration.
 type Adopt struct{ Config *declarer.Config }
 
-// Locate brings the platform's list of the zone's targets; it is taken only
-// when its version is higher than the one in force, or equal to confirm it.
+// Locate delivers the platform's directory of the zone. It is ignored if its
+// version is lower than that of the current directory; an equal version confirms
+// the current directory.
 type Locate struct{ Directory Directory }
 
-// Confirm tells that the platform still has the directory of this version.
+// Confirm reports that the platform's directory still has this version.
 type Confirm struct{ Directory uint64 }
 
-// Drain asks for a graceful shutdown, which ends with a Halt effect.
+// Drain requests a graceful shutdown, which ends with a Halt effect.
 type Drain struct{}
 
-// Stop ends the drain at once: every open job gets a truthful answer.
+// Stop ends the drain at once: every job without an answer is answered as refused
+// if none of its tasks may have started, as failed otherwise.
 type Stop struct{}
 
 func (Tick) event()    {}
@@ -114,14 +119,14 @@
 func (Drain) event()   {}
 func (Stop) event()    {}
 
-// Directory is the platform's lagging list of the hosts of one zone.
+// Directory is the platform's list of the hosts of one zone. It may be out of date.
 type Directory struct {
 	Version uint64 `cbor:"1,keyasint" json:"version"`
 	Zone    string `cbor:"2,keyasint" json:"zone"`
 	Hosts   []Host `cbor:"3,keyasint" json:"hosts"`
 }
 
-// Role is what a listed host does.
+// Role is the role of a listed host.
 type Role string
 
 const (
@@ -138,6 +143,6 @@
 	Address string `cbor:"3,keyasint" json:"address"`
 	// Service is the service that a target runs.
 	Service string `cbor:"4,keyasint,omitempty" json:"service,omitempty"`
-	// Leaving tells that the platform is about to take the host away.
+	// Leaving reports whether the platform is about to remove the host.
 	Leaving bool `cbor:"5,keyasint,omitempty" json:"leaving,omitempty"`
 }
--- a/internal/scheduler/lifecycle.go
+++ b/internal/scheduler/lifecycle.go
@@ -2,42 +2,43 @@
 
 import "github.com/shallotrouter/shallotrouter/internal/transitioner"
 
-// Phase is the life cycle of the daemon.
+// Phase is a state in the life cycle of the daemon.
 type Phase string
 
 const (
-	// Starting lacks a configuration or a directory.
+	// Starting means that the daemon lacks a configuration or a directory.
 	Starting Phase = "starting"
-	// Serving takes jobs.
+	// Serving means that the daemon accepts jobs.
 	Serving Phase = "serving"
-	// Suspended starts nothing after a pause until the state is read anew.
+	// Suspended means that the process was paused: the daemon starts no tasks until
+	// it has received current state.
 	Suspended Phase = "suspended"
-	// Draining finishes its jobs and takes none.
+	// Draining means that the daemon finishes its jobs and accepts no new ones.
 	Draining Phase = "draining"
-	// Halted has answered every job.
+	// Halted means that the daemon has answered every job after a drain.
 	Halted Phase = "halted"
 )
 
 type phaseEvent string
 
 const (
-	equip   phaseEvent = "equip"
-	suspend phaseEvent = "suspend"
-	resume  phaseEvent = "resume"
-	drain   phaseEvent = "drain"
-	halt    phaseEvent = "halt"
+	phaseServe   phaseEvent = "equip"
+	phaseSuspend phaseEvent = "suspend"
+	phaseResume  phaseEvent = "resume"
+	phaseDrain   phaseEvent = "drain"
+	phaseHalt    phaseEvent = "halt"
 )
 
 var phaseRules = []transitioner.Rule[Phase, phaseEvent]{
-	{Event: equip, Source: []Phase{Starting}, Target: Serving},
-	{Event: suspend, Source: []Phase{Serving}, Target: Suspended},
-	{Event: resume, Source: []Phase{Suspended}, Target: Serving},
-	{Event: drain, Source: []Phase{Starting, Serving, Suspended}, Target: Draining},
-	{Event: halt, Source: []Phase{Draining}, Target: Halted},
+	{Event: phaseServe, Source: []Phase{Starting}, Target: Serving},
+	{Event: phaseSuspend, Source: []Phase{Serving}, Target: Suspended},
+	{Event: phaseResume, Source: []Phase{Suspended}, Target: Serving},
+	{Event: phaseDrain, Source: []Phase{Starting, Serving, Suspended}, Target: Draining},
+	{Event: phaseHalt, Source: []Phase{Draining}, Target: Halted},
 }
 
-// jobState is the life cycle of a job. Only a waiting job can be refused, so
-// a refusal cannot be told of a job that has begun.
+// jobState is a state in the life cycle of a job. Only a waiting job can be
+// refused: a job with a task that may have started fails instead.
 type jobState string
 
 const (
@@ -50,7 +51,7 @@
 
 const (
 	jobBegin    jobEvent = "begin"
-	jobRevert   jobEvent = "revert"
+	jobRequeue  jobEvent = "revert"
 	jobRefuse   jobEvent = "refuse"
 	jobFail     jobEvent = "fail"
 	jobComplete jobEvent = "complete"
@@ -58,92 +59,95 @@
 
 var jobMachine = transitioner.Compile(jobWaiting,
 	transitioner.Rule[jobState, jobEvent]{Event: jobBegin, Source: []jobState{jobWaiting, jobBegun}, Target: jobBegun},
-	transitioner.Rule[jobState, jobEvent]{Event: jobRevert, Source: []jobState{jobBegun}, Target: jobWaiting},
+	transitioner.Rule[jobState, jobEvent]{Event: jobRequeue, Source: []jobState{jobBegun}, Target: jobWaiting},
 	transitioner.Rule[jobState, jobEvent]{Event: jobRefuse, Source: []jobState{jobWaiting}, Target: jobFinal},
 	transitioner.Rule[jobState, jobEvent]{Event: jobFail, Source: []jobState{jobBegun}, Target: jobFinal},
 	transitioner.Rule[jobState, jobEvent]{Event: jobComplete, Source: []jobState{jobBegun}, Target: jobFinal},
 )
 
-// taskState is the life cycle of a task. A task that may have started never
-// becomes queued again.
+// taskState is a state in the life cycle of a task. A task that may have started
+// never becomes queued again.
 type taskState string
 
 const (
 	taskQueued taskState = "queued"
 	taskSent   taskState = "sent"
 	taskDone   taskState = "done"
-	taskWrong  taskState = "wrong"
+	taskFailed taskState = "wrong"
 	taskLost   taskState = "lost"
 )
 
 type taskEvent string
 
 const (
-	taskSend   taskEvent = "send"
-	taskReturn taskEvent = "return"
-	taskFinish taskEvent = "finish"
-	taskFail   taskEvent = "fail"
-	taskLose   taskEvent = "lose"
+	taskSend    taskEvent = "send"
+	taskRequeue taskEvent = "return"
+	taskFinish  taskEvent = "finish"
+	taskFail    taskEvent = "fail"
+	taskLose    taskEvent = "lose"
 )
 
 var taskMachine = transitioner.Compile(taskQueued,
 	transitioner.Rule[taskState, taskEvent]{Event: taskSend, Source: []taskState{taskQueued}, Target: taskSent},
-	transitioner.Rule[taskState, taskEvent]{Event: taskReturn, Source: []taskState{taskSent}, Target: taskQueued},
+	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Source: []taskState{taskSent}, Target: taskQueued},
 	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Source: []taskState{taskSent}, Target: taskDone},
-	transitioner.Rule[taskState, taskEvent]{Event: taskFail, Source: []taskState{taskSent}, Target: taskWrong},
+	transitioner.Rule[taskState, taskEvent]{Event: taskFail, Source: []taskState{taskSent}, Target: taskFailed},
 	transitioner.Rule[taskState, taskEvent]{Event: taskLose, Source: []taskState{taskSent}, Target: taskLost},
 )
 
-// State is the life cycle of a target as one host sees it.
+// State is a state in the life cycle of a target as one host sees it.
 type State string
 
 const (
-	// Live takes tasks.
+	// Live means that the target gets tasks.
 	Live State = "live"
-	// Departing takes no new task because it is leaving.
+	// Departing means that the target gets no new tasks because it is leaving.
 	Departing State = "leaving"
-	// Ejected takes no task because it fails or delays what it starts.
+	// Ejected means that the target gets no tasks because it fails or delays them
+	// or cannot be reached.
 	Ejected State = "ejected"
-	// Trial takes one task that decides whether it is live again.
+	// Trial means that the target gets one task, whose result decides whether the
+	// target becomes live again.
 	Trial State = "trial"
 )
 
 type targetEvent string
 
 const (
-	targetLeave  targetEvent = "leave"
-	targetReturn targetEvent = "return"
-	targetEject  targetEvent = "eject"
-	targetTry    targetEvent = "try"
-	targetPass   targetEvent = "pass"
+	targetLeave      targetEvent = "leave"
+	targetReturn     targetEvent = "return"
+	targetEject      targetEvent = "eject"
+	targetStartTrial targetEvent = "try"
+	targetRestore    targetEvent = "pass"
 )
 
 var targetRules = []transitioner.Rule[State, targetEvent]{
 	{Event: targetLeave, Source: []State{Live, Ejected, Trial}, Target: Departing},
 	{Event: targetReturn, Source: []State{Departing}, Target: Live},
 	{Event: targetEject, Source: []State{Live, Trial}, Target: Ejected},
-	{Event: targetTry, Source: []State{Ejected}, Target: Trial},
-	{Event: targetPass, Source: []State{Trial, Ejected}, Target: Live},
+	{Event: targetStartTrial, Source: []State{Ejected}, Target: Trial},
+	{Event: targetRestore, Source: []State{Trial, Ejected}, Target: Live},
 }
 
-// Presence is the life cycle of a peer as one host sees it.
+// Presence is a state in the life cycle of a peer as one host sees it.
 type Presence string
 
 const (
-	// Present sends reports.
+	// Present means that the peer sends reports.
 	Present Presence = "present"
-	// Quiet has sent no report for Bounds.Quiet; its share is given to others.
+	// Quiet means that the peer has sent no report for Bounds.Quiet. Its share of
+	// the slots goes to the other hosts.
 	Quiet Presence = "quiet"
 )
 
 type peerEvent string
 
 const (
-	peerHear peerEvent = "hear"
-	peerMiss peerEvent = "miss"
+	peerReport peerEvent = "hear"
+	peerExpire peerEvent = "miss"
 )
 
 var peerRules = []transitioner.Rule[Presence, peerEvent]{
-	{Event: peerHear, Source: []Presence{Quiet}, Target: Present},
-	{Event: peerMiss, Source: []Presence{Present}, Target: Quiet},
+	{Event: peerReport, Source: []Presence{Quiet}, Target: Present},
+	{Event: peerExpire, Source: []Presence{Present}, Target: Quiet},
 }
--- a/internal/scheduler/peer.go
+++ b/internal/scheduler/peer.go
@@ -9,18 +9,19 @@
 	"github.com/shallotrouter/shallotrouter/internal/transitioner"
 )
 
-// peer is another entry host of the zone.
+// peer is the state of another entry host of the zone.
 type peer struct {
-	report  Report
-	heard   time.Time
-	machine *fsm.FSM
-	uses    map[string]int // its tasks in flight by target
+	report        Report
+	lastReceived  time.Time
+	machine       *fsm.FSM
+	tasksByTarget map[string]int // its tasks in flight at each target
 }
 
-func (r *peer) present() bool { return r.machine.Is(string(Present)) }
+func (r *peer) isPresent() bool { return r.machine.Is(string(Present)) }
 
-// hear takes a peer's report.
-func (s *Scheduler) hear(report Report) {
+// handleReport handles a peer's report. It ignores reports of other zones and of
+// previous incarnations of the peer.
+func (s *Scheduler) handleReport(report Report) {
 	if report.Host == s.Host || report.Zone != s.Zone {
 		return
 	}
@@ -36,83 +37,85 @@
 	if report.Incarnation < r.report.Incarnation {
 		return
 	}
-	r.report, r.heard = report, s.now
-	r.uses = make(map[string]int, len(report.Uses))
+	r.report, r.lastReceived = report, s.now
+	r.tasksByTarget = make(map[string]int, len(report.Uses))
 	for _, u := range report.Uses {
-		r.uses[u.Target] = u.Tasks
+		r.tasksByTarget[u.Target] = u.Tasks
 	}
-	s.turn(r, peerHear)
-	s.resume("a peer reported")
-	s.combine()
+	s.changePeerState(r, peerReport)
+	s.resumeServing("a peer reported")
+	s.mergeReports()
 }
 
-// turn moves a peer to another state and logs it.
-func (s *Scheduler) turn(r *peer, event peerEvent) {
+// changePeerState applies the event to the peer's state if the state allows it, and
+// logs the change.
+func (s *Scheduler) changePeerState(r *peer, event peerEvent) {
 	if !r.machine.Can(string(event)) {
 		return
 	}
 	if err := r.machine.Event(context.Background(), string(event)); err != nil {
-		s.violate("peer life cycle", "%s of %s: %v", event, r.report.Host, err)
+		s.reportViolation("peer life cycle", "event %s of peer %s: %v", event, r.report.Host, err)
 	}
 	s.emit(Decide{Action: Mark, Target: r.report.Host, Reason: "peer " + r.machine.Current()})
 }
 
-// listen marks the peers from which no report has come for too long.
-func (s *Scheduler) listen() {
+// checkPeers marks peers without a report for Bounds.Quiet as quiet and removes
+// them after peerRetention.
+func (s *Scheduler) checkPeers() {
 	changed := false
 	for _, r := range s.peers {
-		if r.present() && s.now.Sub(r.heard) > s.Bounds.Quiet {
-			s.turn(r, peerMiss)
+		if r.isPresent() && s.now.Sub(r.lastReceived) > s.Bounds.Quiet {
+			s.changePeerState(r, peerExpire)
 			changed = true
 		}
-		if !r.present() && s.now.Sub(r.heard) > forgetPeer {
+		if !r.isPresent() && s.now.Sub(r.lastReceived) > peerRetention {
 			delete(s.peers, r.report.Host)
 		}
 	}
 	if changed {
-		s.combine()
+		s.mergeReports()
 	}
 }
 
-// forgetPeer is how long a quiet peer is remembered.
-const forgetPeer = 10 * time.Minute
+// peerRetention is the time after its last report for which a quiet peer is kept.
+const peerRetention = 10 * time.Minute
 
-// combine sums up what all present peers say of the targets and divides the
-// slots anew.
-func (s *Scheduler) combine() {
+// mergeReports combines what all present peers report about the targets and divides
+// the slots of all pools again.
+func (s *Scheduler) mergeReports() {
 	for _, t := range s.targets {
-		t.others, t.doubted, t.ejector = 0, 0, ""
+		t.peerTasks, t.peerSuspicion, t.ejector = 0, 0, ""
 	}
 	for _, r := range s.peers {
-		if !r.present() {
+		if !r.isPresent() {
 			continue
 		}
 		for _, u := range r.report.Uses {
 			if t := s.targets[u.Target]; t != nil {
-				t.merge(r.report.Host, u, s.now)
+				t.addPeerUse(r.report.Host, u, s.now)
 			}
 		}
 	}
 	for _, t := range s.targets {
-		s.settle(t)
-		if t.state() == Ejected && t.pool != nil && t.ejector == "" && t.followed {
-			s.restore(t, "a peer's trial passed")
+		s.updateLeaving(t)
+		if t.state() == Ejected && t.pool != nil && t.ejector == "" && t.followsPeer {
+			s.restoreTarget(t, "a peer's trial passed")
 		}
-		t.followed = t.ejector != "" && t.ejector < s.Host
+		t.followsPeer = t.ejector != "" && t.ejector < s.Host
 	}
 	for _, p := range s.pools {
-		s.share(p)
+		s.divideSlots(p)
 		s.dispatch(p)
 	}
 }
 
-// merge adds one peer's word of the target.
-func (t *target) merge(host string, u Use, now time.Time) {
-	t.others += u.Tasks
-	t.doubted += float64(u.Doubt * doubtStep)
+// addPeerUse adds what one peer reports about the target.
+func (t *target) addPeerUse(host string, u Use, now time.Time) {
+	t.peerTasks += u.Tasks
+	t.peerSuspicion += float64(u.Doubt * suspicionStep)
 	switch u.State {
 	case Departing:
-		t.warned = now.Add(leaveMemory)
+		t.peerLeavingUntil = now.Add(leavingPeriod)
 	case Ejected, Trial:
 		if t.ejector == "" || host < t.ejector {
 			t.ejector = host
@@ -121,9 +124,10 @@
 	}
 }
 
-// report builds what this host tells its peers. It tells of a leaving target
-// only what it knows first-hand, so that two hosts do not keep up a rumour.
-func (s *Scheduler) report() Report {
+// buildReport returns this host's report to its peers. It reports a target as leaving
+// only when this host knows it first-hand. Otherwise two hosts would confirm each
+// other's reports about a target that is no longer leaving.
+func (s *Scheduler) buildReport() Report {
 	r := Report{
 		Host: s.Host, Zone: s.Zone, Address: s.Address, Incarnation: s.Incarnation,
 		Directory: s.directory.Version, Leaving: s.Phase() == Draining,
@@ -131,16 +135,16 @@
 	if s.config != nil {
 		r.Config = s.config.Version
 	}
-	for _, name := range s.services {
+	for _, name := range s.serviceNames {
 		p := s.pools[name]
-		for _, client := range p.names() {
+		for _, client := range p.clientNames() {
 			f := p.flows[client]
 			if f.running+f.waiting > 0 {
 				r.Demands = append(r.Demands, Demand{Service: name, Client: client, Running: f.running, Waiting: f.waiting})
 			}
 		}
 		for _, t := range p.targets {
-			if u := t.use(s.now); u != (Use{Target: t.name}) {
+			if u := t.firstHandUse(s.now); u != (Use{Target: t.name}) {
 				r.Uses = append(r.Uses, u)
 			}
 		}
@@ -148,12 +152,12 @@
 	return r
 }
 
-// use returns this host's first-hand view of the target.
-func (t *target) use(now time.Time) Use {
-	u := Use{Target: t.name, Tasks: t.own, Doubt: int((t.doubt + t.flying) / doubtStep)}
+// firstHandUse returns this host's first-hand view of the target.
+func (t *target) firstHandUse(now time.Time) Use {
+	u := Use{Target: t.name, Tasks: t.ownTasks, Doubt: int((t.suspicion + t.inFlightSuspicion) / suspicionStep)}
 	switch t.state() {
 	case Departing:
-		if t.listed || now.Before(t.told) {
+		if t.listedLeaving || now.Before(t.leavingUntil) {
 			u.State = Departing
 		}
 	case Ejected, Trial:
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -7,126 +7,133 @@
 )
 
 const (
-	// retryBurst is the size of a pool's retry budget.
-	retryBurst = 200
-	// retryPart is the part of all starts that may be retries.
-	retryPart = 0.1
-	// retryPause is how long a pool places nothing once its budget is used up,
-	// and retryBatch is the budget that it then gets.
+	// retryBudget is the maximum of a pool's retry tokens. Each requeued task
+	// takes one token.
+	retryBudget = 200
+	// retryFraction is the number of retry tokens that each start adds: one retry
+	// for ten starts.
+	retryFraction = 0.1
+	// retryPause is how long a pool starts no tasks after its retry budget is used
+	// up, and retryBatch is the number of tokens that it then gets.
 	retryPause = 100 * time.Millisecond
 	retryBatch = 10
-	// maxAttempts bounds the sends of one task, all but one proven not started.
+	// maxAttempts limits how often one task is sent. It is sent again only if the
+	// previous attempt provably did not start it.
 	maxAttempts = 100
-	// retryAfter is the time to come back when the retries are used up.
-	retryAfter = time.Second
+	// defaultRetryAfter is the delay that a client is told to wait when a task's
+	// attempts are used up or the host or service is not ready.
+	defaultRetryAfter = time.Second
 )
 
-// dispatch starts waiting tasks while this host has slots for them.
+// dispatch starts waiting tasks of the pool until this host's quota is used up.
 func (s *Scheduler) dispatch(p *pool) {
-	if s.Phase() != Serving && s.Phase() != Draining || s.now.Before(p.paused) {
+	if s.Phase() != Serving && s.Phase() != Draining || s.now.Before(p.pausedUntil) {
 		return
 	}
-	p.blocked = false
-	s.try(p)
-	var aside []*flow
+	p.quotaExhausted = false
+	s.placeTrials(p)
+	var deferred []*flow
 	limit := p.quota
 	for p.active.Len() > 0 {
 		if p.running >= limit {
-			p.blocked = true
+			p.quotaExhausted = true
 			break
 		}
 		f := p.active.Top()
-		if s.held(f, limit) {
-			aside = append(aside, p.active.Pop())
+		if s.exceedsLongShare(f, limit) {
+			deferred = append(deferred, p.active.Pop())
 			continue
 		}
 		t := s.Placer.place(s, p)
 		if t == nil {
 			break
 		}
-		if !s.start(f, t) {
+		if !s.startTask(f, t) {
 			break
 		}
 	}
-	for _, f := range aside {
+	for _, f := range deferred {
 		f.activate()
 	}
 }
 
-// try gives one task to each target that is due for a trial. A target in trial
-// has no slot in the quota, and may be the only one (#4).
-func (s *Scheduler) try(p *pool) {
+// placeTrials starts one task at each target that is in trial. The slots of a
+// target in trial do not count for the quota, and it may be the only target of
+// the pool, so a trial ignores the quota (#4).
+func (s *Scheduler) placeTrials(p *pool) {
 	for _, t := range p.targets {
-		if t.state() == Trial && t.own == 0 && p.active.Len() > 0 {
-			s.start(p.active.Top(), t)
+		if t.state() == Trial && t.ownTasks == 0 && p.active.Len() > 0 {
+			s.startTask(p.active.Top(), t)
 		}
 	}
 }
 
-// slots returns the slots of the pool's usable targets.
-func (s *Scheduler) slots(p *pool) int {
+// usableSlots returns the number of slots of the pool's usable targets.
+func (s *Scheduler) usableSlots(p *pool) int {
 	n := 0
 	for _, t := range p.targets {
-		if t.counted() {
+		if t.isShared() {
 			n += t.slots
 		}
 	}
 	return n
 }
 
-// held reports whether the flow's next task is long and the flow already holds
-// its part of the slots with long tasks.
-func (s *Scheduler) held(f *flow, limit int) bool {
+// exceedsLongShare reports whether the flow's next task is long and the flow's
+// running long tasks already use the part of the slots that the preset allows.
+func (s *Scheduler) exceedsLongShare(f *flow, limit int) bool {
 	preset := s.config.Current()
 	j := f.jobs.Top()
 	next := j.tasks[j.queue[len(j.queue)-1]]
-	if next.charge < preset.Long {
+	if next.expected < preset.Long {
 		return false
 	}
-	return f.long >= max(1, int(preset.Hold*float64(limit)))
+	return f.longRunning >= max(1, int(preset.Hold*float64(limit)))
 }
 
 // Placer chooses a target for the next task of a pool.
 type Placer interface {
-	// place returns nil when no target appears to have a free slot.
+	// place returns the target, or nil when no target appears to have a free slot.
 	place(s *Scheduler, p *pool) *target
 }
 
-// Spreader is the Placer that keeps each host's own tasks even over the
-// targets, so that hosts with old reports do not all choose the same one.
+// Spreader is the Placer that spreads each host's own tasks evenly over the
+// targets, so that hosts with outdated reports do not all choose the same target.
 type Spreader struct{}
 
-// place returns the usable target with a free slot that has the least load.
+// place returns the usable target with a free slot and the lowest placementLoad.
 func (Spreader) place(s *Scheduler, p *pool) *target {
 	var best *target
 	for i := range p.targets {
-		t := p.targets[(i+s.offset)%len(p.targets)]
-		if !t.usable() || t.free(s.now) <= 0 {
+		t := p.targets[(i+s.targetOffset)%len(p.targets)]
+		if !t.isUsable() || t.freeSlots(s.now) <= 0 {
 			continue
 		}
-		if best == nil || t.load() < best.load() {
+		if best == nil || t.placementLoad() < best.placementLoad() {
 			best = t
 		}
 	}
 	return best
 }
 
-// load orders targets: this host's tasks weigh more than the peers', which are
-// known late, and a slow target's tasks weigh more than a fast one's. A slot that
-// a peer has yet to leave comes last.
-func (t *target) load() float64 {
-	return (float64(t.own+1)+othersWeight*float64(t.others))*max(1, t.ratio/2) + owedWeight*float64(t.owed)
+// placementLoad returns the load by which Spreader compares targets. This host's
+// tasks weigh more than the peers' tasks, because reports arrive late. Tasks at a
+// slow target weigh more than tasks at a fast one. A peer's tasks beyond its slots
+// at the target weigh most: the target holds further tasks back until they end.
+func (t *target) placementLoad() float64 {
+	return (float64(t.ownTasks+1)+peerTaskWeight*float64(t.peerTasks))*max(1, t.runTimeRatio/2) + outOfRangeWeight*float64(t.outOfRangeTasks)
 }
 
-// owedWeight is the weight of a peer's task outside of its range.
-const owedWeight = 4
+// outOfRangeWeight is the weight of a peer's task that exceeds the peer's slots at
+// the target.
+const outOfRangeWeight = 4
 
-// othersWeight is the weight of a peer's task against an own one.
-const othersWeight = 0.1
+// peerTaskWeight is the weight of a peer's task; a task of this host weighs 1.
+const peerTaskWeight = 0.1
 
-// start sends the flow's next task to the target. It reports false when that would
-// break an invariant.
-func (s *Scheduler) start(f *flow, t *target) bool {
+// startTask sends the flow's next task to the target. It reports false when this
+// would break an invariant.
+func (s *Scheduler) startTask(f *flow, t *target) bool {
 	p := f.pool
 	j := f.jobs.Top()
 	last := len(j.queue) - 1
@@ -134,42 +141,43 @@
 	k := &j.tasks[index]
 	next, ok := taskMachine.Next(k.state, taskSend)
 	if !ok {
-		s.violate("starts at most once", "job %d task %d is sent in state %s", j.number, index, k.state)
+		s.reportViolation("starts at most once", "job %d task %d is to be sent in state %s", j.number, index, k.state)
 		return false
 	}
-	if t.own >= t.slots {
-		s.violate("declared slots", "target %s would have %d tasks in flight", t.name, t.own+1)
+	if t.ownTasks >= t.slots {
+		s.reportViolation("declared slots", "target %s would have %d tasks in flight", t.name, t.ownTasks+1)
 		return false
 	}
 	k.state = next
 	k.attempts++
-	k.target, k.sent = t, s.now
-	k.long = k.charge >= s.config.Current().Long
-	s.count(j, k, 1)
-	s.take(f, j, k, last)
+	k.target, k.sentAt = t, s.now
+	k.isLong = k.expected >= s.config.Current().Long
+	s.addInFlight(j, k, 1)
+	s.dequeue(f, j, k, last)
 	j.state, _ = jobMachine.Next(j.state, jobBegin)
-	j.begun++
-	p.virtual = max(p.virtual, f.tag)
-	p.tokens = min(p.tokens+retryPart, retryBurst)
-	f.charge(k.charge)
-	s.fly(t, j, index)
+	j.startedTasks++
+	p.virtualTime = max(p.virtualTime, f.startTag)
+	p.retryTokens = min(p.retryTokens+retryFraction, retryBudget)
+	f.charge(k.expected)
+	s.addRun(t, j, index)
 	s.emit(Start{
 		Number: j.number, Task: index, Client: j.client, Service: j.service,
 		Target: t.name, Address: t.address, Kind: j.specs[index].Kind, Payload: j.specs[index].Payload,
-		By:    earlier(j.deadline, s.now.Add(s.Bounds.Within)),
+		By:    minTime(j.deadline, s.now.Add(s.Bounds.Within)),
 		Until: s.now.Add(p.service.Longest),
 	})
 	s.emit(Decide{Action: Place, Number: j.number, Task: index, Client: j.client, Target: t.name})
 	return true
 }
 
-// take removes the last waiting task from the job's queue.
-func (s *Scheduler) take(f *flow, j *job, k *task, last int) {
+// dequeue removes the task at index last, the next one to start, from the job's
+// queue.
+func (s *Scheduler) dequeue(f *flow, j *job, k *task, last int) {
 	j.queue = j.queue[:last]
-	j.work -= k.charge
-	f.work -= k.charge
+	j.queuedWork -= k.expected
+	f.queuedWork -= k.expected
 	f.waiting--
-	s.waiting--
+	s.waitingTasks--
 	f.pool.waiting--
 	if last == 0 {
 		f.jobs.Remove(j)
@@ -179,53 +187,55 @@
 	}
 }
 
-// fly notes the task among the target's flights.
-func (s *Scheduler) fly(t *target, j *job, index int) {
-	t.flights = append(t.flights, &flight{job: j, index: index, sent: s.now, kind: j.tasks[index].kind})
+// addRun adds a run of the task to the target.
+func (s *Scheduler) addRun(t *target, j *job, index int) {
+	t.runs = append(t.runs, &run{job: j, index: index, sentAt: s.now, kind: j.tasks[index].kind})
 }
 
-// count adds to all counters of tasks in flight.
-func (s *Scheduler) count(j *job, k *task, n int) {
-	k.target.own += n
-	j.inflight += n
+// addInFlight adds n to all counters of tasks in flight.
+func (s *Scheduler) addInFlight(j *job, k *task, n int) {
+	k.target.ownTasks += n
+	j.inFlight += n
 	j.flow.running += n
 	j.flow.pool.running += n
-	if k.long {
-		j.flow.long += n
+	if k.isLong {
+		j.flow.longRunning += n
 	}
 }
 
-// requeue puts a task that was proven not to have started back, to be placed
-// next, unless its retries or the pool's are used up.
+// requeue returns a task that provably did not start to the head of its job's
+// queue. It aborts the job when the task's attempts are used up, or when the
+// process was paused since the job was admitted. When the pool's retry budget is
+// used up, the pool starts no tasks for retryPause.
 func (s *Scheduler) requeue(j *job, index int, result Result) {
 	k := &j.tasks[index]
 	p := j.flow.pool
-	k.state, _ = taskMachine.Next(k.state, taskReturn)
-	j.begun--
+	k.state, _ = taskMachine.Next(k.state, taskRequeue)
+	j.startedTasks--
 	if j.state == jobFinal {
 		return
 	}
-	if j.begun == 0 {
-		j.state, _ = jobMachine.Next(j.state, jobRevert)
+	if j.startedTasks == 0 {
+		j.state, _ = jobMachine.Next(j.state, jobRequeue)
 	}
-	if j.paused {
-		s.abandonPaused(j)
+	if j.wasPaused {
+		s.abortPausedJob(j)
 		return
 	}
-	if p.tokens--; p.tokens < 0 {
-		p.tokens += retryBatch
-		p.paused = s.now.Add(retryPause)
+	if p.retryTokens--; p.retryTokens < 0 {
+		p.retryTokens += retryBatch
+		p.pausedUntil = s.now.Add(retryPause)
 	}
 	if k.attempts >= maxAttempts {
-		s.abandon(j, shallotrouter.Overload, "no target took the task; come back after the time given", retryAfter)
+		s.abortJob(j, shallotrouter.Overload, "no target took the task; come back after the time given", defaultRetryAfter)
 		return
 	}
 	f := j.flow
 	j.queue = append(j.queue, index)
-	j.work += k.charge
-	f.work += k.charge
+	j.queuedWork += k.expected
+	f.queuedWork += k.expected
 	f.waiting++
-	s.waiting++
+	s.waitingTasks++
 	p.waiting++
 	if len(j.queue) == 1 {
 		f.jobs.Push(j)
@@ -234,7 +244,7 @@
 	s.emit(Decide{Action: Requeue, Number: j.number, Task: index, Client: j.client, Target: k.target.name, Reason: string(result)})
 }
 
-func earlier(a, b time.Time) time.Time {
+func minTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -1,23 +1,24 @@
 package scheduler
 
-// Report is what a host tells its peers: its demand, its use of the targets and
-// the versions it holds. The transport sends what changed since the last one.
+// Report is what a host sends to its peers: its demand, its use of the targets and
+// the versions of its configuration and directory. The transport sends only the
+// changes since the last report.
 type Report struct {
 	Host string
 	Zone string
-	// Address is where peers and forwarded submissions reach the host.
+	// Address is the address for peers and forwarded submissions.
 	Address     string
 	Incarnation uint64
-	// Config and Directory are the versions that the host holds.
+	// Config and Directory are the versions that the host uses.
 	Config    uint64
 	Directory uint64
-	// Leaving tells that the host is draining.
+	// Leaving reports whether the host is draining.
 	Leaving bool
 	Demands []Demand
 	Uses    []Use
 }
 
-// Demand is what one client has at the reporting host for one service.
+// Demand counts the tasks of one client for one service at the reporting host.
 type Demand struct {
 	Service string `cbor:"1,keyasint"`
 	Client  string `cbor:"2,keyasint"`
@@ -32,6 +33,7 @@
 	Tasks int `cbor:"2,keyasint,omitempty"`
 	// State is omitted for a live target.
 	State State `cbor:"3,keyasint,omitempty"`
-	// Doubt tells how surprisingly long the host's tasks take there.
+	// Doubt is the host's suspicion that the target is slow, in units of
+	// suspicionStep: how surprisingly long the host's tasks take there.
 	Doubt int `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler decides which task runs where and when. It is one reducer
-// over all events, with effects as data: it does no input or output, reads no
-// clock and starts no goroutine.
+// Package scheduler decides when each task runs and at which target. It is a
+// reducer: Scheduler.Step takes an event and returns effects as data. It does no
+// input or output, reads no clock and starts no goroutine.
 package scheduler
 
 import (
@@ -21,25 +21,29 @@
 
 // Bounds are the limits and periods of a Scheduler.
 type Bounds struct {
-	// Tick is the greatest time between two steps of a running process.
+	// Tick is the longest time between two steps of a running process.
 	Tick time.Duration
-	// Pause is the time between two steps from which the process was frozen.
+	// Pause is the threshold for a paused process: a longer time between two
+	// steps means that the process did not run.
 	Pause time.Duration
-	// Within is how soon a target must begin a task that was sent to it.
+	// Within is the time in which a target must start a task that was sent to it.
 	Within time.Duration
-	// Life is how long an unused ticket stays good.
+	// Life is how long an unused ticket is valid.
 	Life time.Duration
-	// Keep, KeepBytes and KeepJobs bound the answers kept for resubmissions.
+	// Keep, KeepBytes and KeepJobs limit the age, total size and number of the
+	// answers that are retained for resubmissions.
 	Keep      time.Duration
 	KeepBytes int
 	KeepJobs  int
-	// Waiting bounds the waiting tasks of all clients.
+	// Waiting limits the waiting tasks of all clients together.
 	Waiting int
-	// Peers bounds the entry hosts of the zone.
+	// Peers limits the number of other entry hosts in the zone.
 	Peers int
-	// Quiet is how long after its last report a peer's share passes on.
+	// Quiet is the time without a report after which the other hosts take over a
+	// peer's share of the slots.
 	Quiet time.Duration
-	// Calm and Hurry are the periods of reports without and with waiting work.
+	// Calm is the regular interval between reports. Hurry is the interval while
+	// work waits and the last report misleads the peers.
 	Calm  time.Duration
 	Hurry time.Duration
 }
@@ -54,213 +58,218 @@
 	}
 }
 
-// Scheduler is the state of one entry host. Its exported fields are set before
-// the first Step. It is not safe for concurrent use.
+// Scheduler is the state of one entry host. Its exported fields must be set
+// before the first Step. It is not safe for concurrent use.
 type Scheduler struct {
 	// Host, Zone and Address name this entry host.
 	Host    string
 	Zone    string
 	Address string
-	// Incarnation is the start of this process in Unix nanoseconds.
+	// Incarnation is the start time of this process in Unix nanoseconds.
 	Incarnation uint64
-	// Bounds are the limits; Standard gives the defaults.
+	// Bounds holds the limits and periods; Standard returns the defaults.
 	Bounds Bounds
 	// Placer chooses targets; nil means Spreader.
 	Placer Placer
 
-	now       time.Time
-	phase     *fsm.FSM
-	suspended time.Time
-	config    *declarer.Config
-	clients   map[string]declarer.Client
-	directory Directory
-	ledger    ticketer.Ledger
-	jobs      map[uint64]*job
-	due       holder.Heap[*due]
-	kept      []*job
-	keptBytes int
-	open      int // jobs without a final answer
-	waiting   int // waiting tasks of all jobs
-	pools     map[string]*pool
-	services  []string // names of the pools, sorted
-	targets   map[string]*target
-	peers     map[string]*peer
-	records   map[string]*record
-	published time.Time
-	sent      Report // what was published last
-	urgent    bool   // the next report should not wait for its period
-	offset    int    // where this host begins to look at targets
-	effects   []Effect
-	demands   []divider.Demand
+	now            time.Time
+	phaseMachine   *fsm.FSM
+	suspendedAt    time.Time
+	config         *declarer.Config
+	clients        map[string]declarer.Client
+	directory      Directory
+	ledger         ticketer.Ledger
+	jobs           map[uint64]*job
+	deadlines      holder.Heap[*deadlineEntry]
+	retained       []*job
+	retainedBytes  int
+	openJobs       int // number of jobs without a final answer
+	waitingTasks   int // number of waiting tasks of all jobs
+	pools          map[string]*pool
+	serviceNames   []string // names of the pools, sorted
+	targets        map[string]*target
+	peers          map[string]*peer
+	failureRecords map[string]*failureRecord
+	publishedAt    time.Time
+	lastReport     Report // the report that was published last
+	reportUrgent   bool   // the next report waits only for minReportInterval
+	targetOffset   int    // index of the target that this host considers first
+	effects        []Effect
+	poolDemands    []divider.Demand
 }
 
-// init makes the parts that the zero value lacks.
+// init creates the parts that the zero value lacks.
 func (s *Scheduler) init(now time.Time) {
 	s.now = now
-	s.phase = transitioner.Build(Starting, phaseRules...)
+	s.phaseMachine = transitioner.Build(Starting, phaseRules...)
 	s.ledger.Life = s.Bounds.Life
 	s.jobs = make(map[uint64]*job)
 	s.pools = make(map[string]*pool)
 	s.targets = make(map[string]*target)
 	s.peers = make(map[string]*peer)
-	s.records = make(map[string]*record)
-	s.due.Less = func(a, b *due) bool { return a.job.deadline.Before(b.job.deadline) }
-	s.offset = offset(s.Host)
+	s.failureRecords = make(map[string]*failureRecord)
+	s.deadlines.Less = func(a, b *deadlineEntry) bool { return a.job.deadline.Before(b.job.deadline) }
+	s.targetOffset = targetOffset(s.Host)
 	if s.Placer == nil {
 		s.Placer = Spreader{}
 	}
 }
 
-// Step applies one event and returns its effects, which are good until the next
-// Step. Time must not go back.
+// Step applies one event and returns its effects. The returned slice is valid
+// until the next call of Step. The time now must not go back.
 func (s *Scheduler) Step(now time.Time, e Event) []Effect {
-	if s.phase == nil {
+	if s.phaseMachine == nil {
 		s.init(now)
 	}
 	s.effects = s.effects[:0]
 	gap := now.Sub(s.now)
 	s.now = now
 	if gap > s.Bounds.Pause {
-		s.suspend(gap)
+		s.suspendServing(gap)
 	}
 	s.apply(e)
 	return s.effects
 }
 
-// apply hands the event to its part of the scheduler.
+// apply calls the handler of the event.
 func (s *Scheduler) apply(e Event) {
 	switch e := e.(type) {
 	case Tick:
-		s.tick()
+		s.handleTick()
 	case Issue:
-		s.issue(e)
+		s.handleIssue(e)
 	case Submit:
-		s.submit(e)
+		s.handleSubmit(e)
 	case Inspect:
-		s.inspect(e)
+		s.handleInspect(e)
 	case Cancel:
-		s.cancel(e)
+		s.handleCancel(e)
 	case Finish:
-		s.finish(e)
+		s.handleFinish(e)
 	case Hear:
-		s.hear(e.Report)
+		s.handleReport(e.Report)
 	case Adopt:
-		s.configure(e.Config)
+		s.handleConfig(e.Config)
 	case Locate:
-		s.locate(e.Directory)
+		s.handleDirectory(e.Directory)
 	case Confirm:
-		s.confirm(e)
+		s.handleDirectoryUnchanged(e)
 	case Survey:
-		s.survey(e)
+		s.handleSurvey(e)
 	case Drain:
-		s.drain()
+		s.handleDrain()
 	case Stop:
-		s.stop()
+		s.handleStop()
 	}
 }
 
 // Phase returns the daemon's phase.
 func (s *Scheduler) Phase() Phase {
-	if s.phase == nil {
+	if s.phaseMachine == nil {
 		return Starting
 	}
-	return Phase(s.phase.Current())
+	return Phase(s.phaseMachine.Current())
 }
 
-// emit adds an effect.
+// emit adds an effect to the result of the current step.
 func (s *Scheduler) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// violate reports a broken invariant.
-func (s *Scheduler) violate(invariant, format string, args ...any) {
+// reportViolation reports a broken invariant.
+func (s *Scheduler) reportViolation(invariant, format string, args ...any) {
 	s.emit(Violate{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
-// move changes the daemon's phase if the event may happen.
-func (s *Scheduler) move(event phaseEvent, reason string) bool {
-	if !s.phase.Can(string(event)) {
+// changePhase applies the event to the daemon's phase. It reports false when the
+// current phase does not allow the event.
+func (s *Scheduler) changePhase(event phaseEvent, reason string) bool {
+	if !s.phaseMachine.Can(string(event)) {
 		return false
 	}
-	if err := s.phase.Event(context.Background(), string(event)); err != nil {
-		s.violate("daemon life cycle", "%s: %v", event, err)
+	if err := s.phaseMachine.Event(context.Background(), string(event)); err != nil {
+		s.reportViolation("daemon life cycle", "%s: %v", event, err)
 		return false
 	}
-	s.urgent = true
-	s.emit(Decide{Action: Mark, Target: s.Host, Reason: s.phase.Current() + ": " + reason})
+	s.reportUrgent = true
+	s.emit(Decide{Action: Mark, Target: s.Host, Reason: s.phaseMachine.Current() + ": " + reason})
 	return true
 }
 
-// configure takes a configuration whose version is higher than the one in force.
-func (s *Scheduler) configure(c *declarer.Config) {
+// handleConfig adopts a configuration if its version is higher than that of the
+// current one.
+func (s *Scheduler) handleConfig(c *declarer.Config) {
 	if c == nil || (s.config != nil && c.Version <= s.config.Version) {
 		return
 	}
 	s.config = c
-	s.urgent = true
+	s.reportUrgent = true
 	s.clients = make(map[string]declarer.Client, len(c.Clients))
 	for _, client := range c.Clients {
 		s.clients[client.Name] = client
 	}
-	s.services = s.services[:0]
+	s.serviceNames = s.serviceNames[:0]
 	for _, service := range c.Services {
-		s.services = append(s.services, service.Name)
+		s.serviceNames = append(s.serviceNames, service.Name)
 		if p := s.pools[service.Name]; p != nil {
 			p.service = service
 			continue
 		}
 		s.pools[service.Name] = newPool(service)
 	}
-	slices.Sort(s.services)
-	s.close()
+	slices.Sort(s.serviceNames)
+	s.closeUndeclaredPools()
 	for _, p := range s.pools {
 		for _, f := range p.flows {
-			f.declared = s.weight(f.client)
+			f.declaredWeight = s.declaredWeight(f.client)
 		}
 	}
 	s.emit(Decide{Action: Mark, Target: s.Host, Reason: fmt.Sprintf("configuration %d, preset %s", c.Version, c.Row.Preset)})
-	s.rebuild()
+	s.rebuildPools()
 }
 
-// close ends the pools whose service is no longer declared.
-func (s *Scheduler) close() {
+// closeUndeclaredPools aborts the waiting jobs of services that are no longer
+// declared and removes the pools of these services.
+func (s *Scheduler) closeUndeclaredPools() {
 	for name, p := range s.pools {
-		if slices.Contains(s.services, name) {
+		if slices.Contains(s.serviceNames, name) {
 			continue
 		}
 		for _, f := range p.flows {
 			for f.jobs.Len() > 0 {
-				s.abandon(f.jobs.Top(), shallotrouter.Unknown, "the service is no longer declared; name a declared service", 0)
+				s.abortJob(f.jobs.Top(), shallotrouter.Unknown, "the service is no longer declared; name a declared service", 0)
 			}
 		}
 		delete(s.pools, name)
 	}
 }
 
-// locate takes a directory that is not older than the one in force.
-func (s *Scheduler) locate(d Directory) {
+// handleDirectory adopts a directory that is not older than the current one.
+func (s *Scheduler) handleDirectory(d Directory) {
 	if d.Zone != s.Zone || d.Version < s.directory.Version {
 		return
 	}
 	newer := d.Version > s.directory.Version || s.directory.Zone == ""
 	s.directory = d
-	s.resume("the directory was read")
+	s.resumeServing("the directory was read")
 	if newer {
-		s.rebuild()
+		s.rebuildPools()
 	}
 }
 
-// confirm takes the platform's word that the directory has not changed.
-func (s *Scheduler) confirm(e Confirm) {
+// handleDirectoryUnchanged handles the platform's answer that the directory has
+// not changed.
+func (s *Scheduler) handleDirectoryUnchanged(e Confirm) {
 	if e.Directory == s.directory.Version {
-		s.resume("the directory was confirmed")
+		s.resumeServing("the directory was confirmed")
 	}
 }
 
-// rebuild fits the targets and pools to the configuration and the directory.
-func (s *Scheduler) rebuild() {
+// rebuildPools updates the targets and pools to the current configuration and
+// directory.
+func (s *Scheduler) rebuildPools() {
 	if s.config == nil || s.directory.Zone == "" {
 		return
 	}
-	listed := make(map[string]Host, len(s.directory.Hosts))
+	listedHosts := make(map[string]Host, len(s.directory.Hosts))
 	for _, p := range s.pools {
 		p.targets = p.targets[:0]
 	}
@@ -269,101 +278,106 @@
 		if h.Role != Target || p == nil {
 			continue
 		}
-		listed[h.Name] = h
-		s.list(h, p)
+		listedHosts[h.Name] = h
+		s.updateTarget(h, p)
 	}
 	for name := range s.targets {
-		if _, ok := listed[name]; !ok {
+		if _, ok := listedHosts[name]; !ok {
 			delete(s.targets, name)
 		}
 	}
-	s.move(equip, "configuration and directory are here")
+	s.changePhase(phaseServe, "configuration and directory are here")
 	for _, p := range s.pools {
 		slices.SortFunc(p.targets, compareTargets)
-		p.arrangeSlots()
+		p.orderSlots()
 	}
 	for _, t := range s.targets {
-		s.settle(t)
+		s.updateLeaving(t)
 	}
 	for _, p := range s.pools {
-		s.share(p)
+		s.divideSlots(p)
 		s.dispatch(p)
 	}
 }
 
-// list fits one target to its entry of the directory.
-func (s *Scheduler) list(h Host, p *pool) {
+// updateTarget updates one target to its directory entry and adds it to the pool.
+// A target whose address or service has changed starts with a new state.
+func (s *Scheduler) updateTarget(h Host, p *pool) {
 	t := s.targets[h.Name]
 	if t == nil || t.pool.service.Name != h.Service || t.address != h.Address {
 		t = newTarget(h.Name, p)
 		s.targets[h.Name] = t
 	}
-	t.pool, t.address, t.slots, t.listed = p, h.Address, p.service.Slots, h.Leaving
+	t.pool, t.address, t.slots, t.listedLeaving = p, h.Address, p.service.Slots, h.Leaving
 	p.targets = append(p.targets, t)
 }
 
-// suspend handles a freeze of the process: the world has moved on, so waiting
-// work is given up and nothing starts before the state is read anew.
-func (s *Scheduler) suspend(gap time.Duration) {
-	for _, j := range s.unfinished() {
-		j.paused = true
+// suspendServing handles a pause of the process. What the host knows may be out
+// of date, so it aborts the jobs with waiting tasks and starts nothing until it has
+// received current state.
+func (s *Scheduler) suspendServing(gap time.Duration) {
+	for _, j := range s.unfinishedJobs() {
+		j.wasPaused = true
 		if len(j.queue) > 0 {
-			s.abandonPaused(j)
+			s.abortPausedJob(j)
 		}
 	}
-	s.suspended = s.now
-	if s.move(suspend, "frozen for "+gap.Round(time.Millisecond).String()) {
+	s.suspendedAt = s.now
+	if s.changePhase(phaseSuspend, "frozen for "+gap.Round(time.Millisecond).String()) {
 		s.emit(Refresh{})
 	}
 }
 
-// abandonPaused gives up a job of which a task still has to start after a freeze.
-func (s *Scheduler) abandonPaused(j *job) {
-	s.abandon(j, shallotrouter.Paused, "this host was frozen; submit the job anew", minBackoff)
+// abortPausedJob aborts a job that still has a task to start after a pause of the
+// process.
+func (s *Scheduler) abortPausedJob(j *job) {
+	s.abortJob(j, shallotrouter.Paused, "this host was frozen; submit the job anew", minBackoff)
 }
 
-// resumeAfter bounds the wait for fresh state after a freeze; a host that is
-// cut off goes on with what it has.
-const resumeAfter = time.Second
+// resumeTimeout limits the wait for current state after a pause. A host that is
+// cut off from the platform and its peers then resumes with the state it has.
+const resumeTimeout = time.Second
 
-// resume lets a suspended host start work again.
-func (s *Scheduler) resume(reason string) {
-	if s.Phase() == Suspended && s.now.After(s.suspended) {
-		s.move(resume, reason)
+// resumeServing lets a suspended host start tasks again.
+func (s *Scheduler) resumeServing(reason string) {
+	if s.Phase() == Suspended && s.now.After(s.suspendedAt) {
+		s.changePhase(phaseResume, reason)
 	}
 }
 
-// unfinished returns the jobs without an answer, oldest ticket first.
-func (s *Scheduler) unfinished() []*job {
-	var list []*job
+// unfinishedJobs returns the jobs without an answer in order of their ticket
+// numbers.
+func (s *Scheduler) unfinishedJobs() []*job {
+	var jobs []*job
 	for _, j := range s.jobs {
 		if j.answer == nil {
-			list = append(list, j)
+			jobs = append(jobs, j)
 		}
 	}
-	slices.SortFunc(list, func(a, b *job) int { return int(a.number) - int(b.number) })
-	return list
+	slices.SortFunc(jobs, func(a, b *job) int { return int(a.number) - int(b.number) })
+	return jobs
 }
 
-// drain begins a graceful shutdown.
-func (s *Scheduler) drain() {
-	s.move(drain, "asked to shut down")
+// handleDrain starts a graceful shutdown.
+func (s *Scheduler) handleDrain() {
+	s.changePhase(phaseDrain, "asked to shut down")
 	s.publish()
-	s.rest()
+	s.haltIfDrained()
 }
 
-// stop ends a drain at once, with a truthful answer to each open job.
-func (s *Scheduler) stop() {
-	s.move(drain, "asked to stop")
-	for _, j := range s.unfinished() {
-		s.abandon(j, shallotrouter.Draining, "this host had to stop; go to another entry host", minBackoff)
+// handleStop ends a drain at once and answers each open job truthfully: as
+// refused if none of its tasks may have started, as failed otherwise.
+func (s *Scheduler) handleStop() {
+	s.changePhase(phaseDrain, "asked to stop")
+	for _, j := range s.unfinishedJobs() {
+		s.abortJob(j, shallotrouter.Draining, "this host had to stop; go to another entry host", minBackoff)
 	}
-	s.rest()
+	s.haltIfDrained()
 }
 
-// rest halts a draining host once every job has its answer.
-func (s *Scheduler) rest() {
-	if s.Phase() == Draining && s.open == 0 && s.move(halt, "every job is answered") {
+// haltIfDrained halts a draining host once every job is answered.
+func (s *Scheduler) haltIfDrained() {
+	if s.Phase() == Draining && s.openJobs == 0 && s.changePhase(phaseHalt, "every job is answered") {
 		s.emit(Halt{})
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -13,15 +13,15 @@
 	"github.com/shallotrouter/shallotrouter/internal/declarer"
 )
 
-// bench is a scheduler in a test's hands.
-type bench struct {
+// harness drives a scheduler in a test.
+type harness struct {
 	*Scheduler
 	t       *testing.T
 	now     time.Time
 	request uint64
 }
 
-const text = `[service s]
+const configText = `[service s]
 slots = 2
 [client a]
 token = sha256:0000000000000000000000000000000000000000000000000000000000000001
@@ -32,9 +32,9 @@
 queue = 5
 `
 
-// newBench returns a serving scheduler with so many targets.
-func newBench(t *testing.T, targets int) *bench {
-	b := &bench{t: t, now: time.Unix(1000, 0), Scheduler: &Scheduler{Host: "h1", Zone: "z", Address: "h1", Bounds: Standard(), Incarnation: 1}}
+// newHarness returns a serving scheduler with the given number of targets.
+func newHarness(t *testing.T, targets int) *harness {
+	b := &harness{t: t, now: time.Unix(1000, 0), Scheduler: &Scheduler{Host: "h1", Zone: "z", Address: "h1", Bounds: Standard(), Incarnation: 1}}
 	b.step(Adopt{Config: config(t, 1, declarer.Ordinary)})
 	b.step(Locate{Directory: directory(1, targets)})
 	require.Equal(t, Serving, b.Phase())
@@ -42,7 +42,7 @@
 }
 
 func config(t *testing.T, version uint64, preset declarer.Name) *declarer.Config {
-	raw, err := declarer.Row{Text: text, Preset: preset}.Encode()
+	raw, err := declarer.Row{Text: configText, Preset: preset}.Encode()
 	require.NoError(t, err)
 	c, err := declarer.Decode(version, raw)
 	require.NoError(t, err)
@@ -58,13 +58,14 @@
 	return d
 }
 
-// step applies an event a millisecond later. A broken invariant fails the test.
-func (b *bench) step(e Event) []Effect {
+// step applies an event one millisecond after the last. A broken invariant fails
+// the test.
+func (b *harness) step(e Event) []Effect {
 	b.t.Helper()
-	return b.later(time.Millisecond, e)
+	return b.stepAfter(time.Millisecond, e)
 }
 
-func (b *bench) later(d time.Duration, e Event) []Effect {
+func (b *harness) stepAfter(d time.Duration, e Event) []Effect {
 	b.t.Helper()
 	b.now = b.now.Add(d)
 	effects := append([]Effect(nil), b.Step(b.now, e)...)
@@ -76,25 +77,25 @@
 	return effects
 }
 
-// pass lets time pass with ticks.
-func (b *bench) pass(d time.Duration) []Effect {
+// advance advances the time in ticks.
+func (b *harness) advance(d time.Duration) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
-		all = append(all, b.later(b.Bounds.Tick, Tick{})...)
+		all = append(all, b.stepAfter(b.Bounds.Tick, Tick{})...)
 	}
 	return all
 }
 
-// ticket takes a ticket number.
-func (b *bench) ticket() uint64 {
-	issued := only[Issued](b.step(Issue{Client: "a", Count: 1}))
+// takeTicket returns a new ticket number.
+func (b *harness) takeTicket() uint64 {
+	issued := effectsOf[Issued](b.step(Issue{Client: "a", Count: 1}))
 	require.Len(b.t, issued, 1)
 	require.Nil(b.t, issued[0].Err)
 	return issued[0].First
 }
 
-// submit submits a job of so many tasks.
-func (b *bench) submit(client string, number uint64, tasks int, deadline time.Duration) []Effect {
+// submit submits a job with the given number of tasks.
+func (b *harness) submit(client string, number uint64, tasks int, deadline time.Duration) []Effect {
 	b.request++
 	job := shallotrouter.Job{Service: "s", Deadline: shallotrouter.Duration(deadline)}
 	for range tasks {
@@ -103,13 +104,13 @@
 	return b.step(Submit{Request: b.request, Client: client, Number: number, Job: job})
 }
 
-// end ends a start.
-func (b *bench) end(s Start, result Result) []Effect {
+// endStart reports the result of a start.
+func (b *harness) endStart(s Start, result Result) []Effect {
 	return b.step(Finish{Number: s.Number, Task: s.Task, Target: s.Target, Result: result, Elapsed: 100 * time.Millisecond})
 }
 
-// only returns the effects of one type.
-func only[T Effect](effects []Effect) []T {
+// effectsOf returns the effects of one type.
+func effectsOf[T Effect](effects []Effect) []T {
 	var list []T
 	for _, e := range effects {
 		if x, ok := e.(T); ok {
@@ -119,149 +120,150 @@
 	return list
 }
 
-func TestCompleteAndRepeat(t *testing.T) {
-	b := newBench(t, 1)
-	n := b.ticket()
-	starts := only[Start](b.submit("a", n, 2, time.Second))
+func TestResubmissionGetsTheSameAnswer(t *testing.T) {
+	b := newHarness(t, 1)
+	n := b.takeTicket()
+	starts := effectsOf[Start](b.submit("a", n, 2, time.Second))
 	require.Len(t, starts, 2)
-	assert.Empty(t, only[Reply](b.end(starts[0], Done)))
-	assert.Empty(t, only[Reply](b.submit("a", n, 2, time.Second)), "the repeat waits for the same answer")
-	replies := only[Reply](b.end(starts[1], Done))
+	assert.Empty(t, effectsOf[Reply](b.endStart(starts[0], Done)))
+	assert.Empty(t, effectsOf[Reply](b.submit("a", n, 2, time.Second)), "the resubmission waits for the same answer")
+	replies := effectsOf[Reply](b.endStart(starts[1], Done))
 	require.Len(t, replies, 2)
 	for _, r := range replies {
 		assert.Equal(t, shallotrouter.Complete, r.Answer.Outcome)
 		assert.Len(t, r.Answer.Results, 2)
 	}
-	replies = only[Reply](b.submit("a", n, 2, time.Second))
+	replies = effectsOf[Reply](b.submit("a", n, 2, time.Second))
 	require.Len(t, replies, 1)
 	assert.Equal(t, shallotrouter.Complete, replies[0].Answer.Outcome)
-	replies = only[Reply](b.submit("b", n, 2, time.Second))
+	replies = effectsOf[Reply](b.submit("b", n, 2, time.Second))
 	require.Len(t, replies, 1)
 	assert.Equal(t, shallotrouter.Unauthorized, replies[0].Answer.Reason)
-	b.pass(b.Bounds.Keep + time.Second)
-	replies = only[Reply](b.submit("a", n, 2, time.Second))
+	b.advance(b.Bounds.Keep + time.Second)
+	replies = effectsOf[Reply](b.submit("a", n, 2, time.Second))
 	require.Len(t, replies, 1)
-	assert.Equal(t, shallotrouter.Lost, replies[0].Answer.Outcome, "a forgotten answer may have run")
+	assert.Equal(t, shallotrouter.Lost, replies[0].Answer.Outcome, "the job of a dropped answer may have run")
 }
 
-func TestNotStartedIsPlacedAgain(t *testing.T) {
+func TestTaskThatDidNotStartIsPlacedAgain(t *testing.T) {
 	for _, result := range []Result{Busy, Late, Leaving, Unsent} {
-		b := newBench(t, 2)
-		start := only[Start](b.submit("a", b.ticket(), 1, time.Second))[0]
-		again := only[Start](append(b.end(start, result), b.pass(500*time.Millisecond)...))
+		b := newHarness(t, 2)
+		start := effectsOf[Start](b.submit("a", b.takeTicket(), 1, time.Second))[0]
+		again := effectsOf[Start](append(b.endStart(start, result), b.advance(500*time.Millisecond)...))
 		require.Len(t, again, 1, result)
-		replies := only[Reply](b.end(again[0], Done))
+		replies := effectsOf[Reply](b.endStart(again[0], Done))
 		require.Len(t, replies, 1, result)
 		assert.Equal(t, shallotrouter.Complete, replies[0].Answer.Outcome)
 	}
 }
 
-func TestMayHaveStartedIsNotPlacedAgain(t *testing.T) {
+func TestTaskThatMayHaveStartedIsNotPlacedAgain(t *testing.T) {
 	for _, result := range []Result{Wrong, Lost} {
-		b := newBench(t, 2)
-		starts := only[Start](b.submit("a", b.ticket(), 6, 2*time.Second))
+		b := newHarness(t, 2)
+		starts := effectsOf[Start](b.submit("a", b.takeTicket(), 6, 2*time.Second))
 		require.Len(t, starts, 4)
-		effects := b.end(starts[0], result)
-		replies := only[Reply](effects)
+		effects := b.endStart(starts[0], result)
+		replies := effectsOf[Reply](effects)
 		require.Len(t, replies, 1)
 		assert.Equal(t, shallotrouter.Failed, replies[0].Answer.Outcome)
-		assert.Empty(t, only[Start](append(effects, b.pass(3*time.Second)...)), "the rest is withdrawn")
+		assert.Empty(t, effectsOf[Start](append(effects, b.advance(3*time.Second)...)), "the other tasks are withdrawn")
 		assert.Zero(t, b.Waiting())
 		for _, s := range starts[1:] {
-			assert.Empty(t, only[Reply](b.end(s, Done)), "a late end changes nothing")
+			assert.Empty(t, effectsOf[Reply](b.endStart(s, Done)), "a run that ends after the job's answer changes nothing")
 		}
 	}
 }
 
-// TestRefusalsAreTrue refuses in every way and requires that nothing starts.
-func TestRefusalsAreTrue(t *testing.T) {
-	full := func(b *bench) { // all slots are taken by another client
-		b.submit("b", b.ticket(), 2, time.Hour)
+// TestRefusedJobIsNotStarted provokes every kind of refusal and requires that no
+// task of the refused job starts.
+func TestRefusedJobIsNotStarted(t *testing.T) {
+	occupyAllSlots := func(b *harness) { // all slots are taken by another client
+		b.submit("b", b.takeTicket(), 2, time.Hour)
 	}
 	cases := []struct {
-		reason shallotrouter.Reason
-		back   bool // whether the refusal tells when to come back
-		act    func(b *bench, n uint64) []Effect
+		reason     shallotrouter.Reason
+		retryAfter bool // whether the refusal names a delay before a retry
+		act        func(b *harness, n uint64) []Effect
 	}{
-		{shallotrouter.Expired, false, func(b *bench, n uint64) []Effect {
-			b.pass(b.Bounds.Life + b.Bounds.Life/32)
+		{shallotrouter.Expired, false, func(b *harness, n uint64) []Effect {
+			b.advance(b.Bounds.Life + b.Bounds.Life/32)
 			return b.submit("a", n, 1, time.Second)
 		}},
-		{shallotrouter.Maintenance, true, func(b *bench, n uint64) []Effect {
+		{shallotrouter.Maintenance, true, func(b *harness, n uint64) []Effect {
 			b.step(Adopt{Config: config(b.t, 2, declarer.Maintenance)})
 			return b.submit("a", n, 1, time.Second)
 		}},
-		{shallotrouter.Overload, true, func(b *bench, n uint64) []Effect {
-			full(b)
+		{shallotrouter.Overload, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
 			b.step(Adopt{Config: config(b.t, 2, declarer.Peak)})
-			b.submit("a", b.ticket(), 5, time.Hour)
+			b.submit("a", b.takeTicket(), 5, time.Hour)
 			return b.submit("a", n, 1, time.Hour)
 		}},
-		{shallotrouter.Deadline, true, func(b *bench, n uint64) []Effect {
-			full(b)
-			b.submit("a", b.ticket(), 100, time.Hour)
+		{shallotrouter.Deadline, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
+			b.submit("a", b.takeTicket(), 100, time.Hour)
 			return b.submit("a", n, 1, 50*time.Millisecond)
 		}},
-		{shallotrouter.Deadline, true, func(b *bench, n uint64) []Effect {
-			full(b)
-			return append(b.submit("a", n, 1, 200*time.Millisecond), b.pass(time.Second)...)
+		{shallotrouter.Deadline, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
+			return append(b.submit("a", n, 1, 200*time.Millisecond), b.advance(time.Second)...)
 		}},
-		{shallotrouter.Unready, true, func(b *bench, n uint64) []Effect {
+		{shallotrouter.Unready, true, func(b *harness, n uint64) []Effect {
 			b.step(Locate{Directory: directory(2, 0)})
 			return b.submit("a", n, 1, time.Second)
 		}},
-		{shallotrouter.Draining, true, func(b *bench, n uint64) []Effect {
-			full(b)
+		{shallotrouter.Draining, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
 			b.step(Drain{})
 			return b.submit("a", n, 1, time.Second)
 		}},
-		{shallotrouter.Draining, true, func(b *bench, n uint64) []Effect {
-			full(b)
+		{shallotrouter.Draining, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
 			b.submit("a", n, 1, time.Second)
 			return b.step(Stop{})
 		}},
-		{shallotrouter.Paused, true, func(b *bench, n uint64) []Effect {
-			full(b)
+		{shallotrouter.Paused, true, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
 			b.submit("a", n, 1, time.Hour)
-			return b.later(b.Bounds.Pause+time.Second, Tick{})
+			return b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
 		}},
-		{shallotrouter.Cancelled, false, func(b *bench, n uint64) []Effect {
-			full(b)
+		{shallotrouter.Cancelled, false, func(b *harness, n uint64) []Effect {
+			occupyAllSlots(b)
 			b.submit("a", n, 1, time.Second)
 			return b.step(Cancel{Request: 99, Client: "a", Number: n})
 		}},
-		{shallotrouter.Cancelled, false, func(b *bench, n uint64) []Effect {
+		{shallotrouter.Cancelled, false, func(b *harness, n uint64) []Effect {
 			b.step(Cancel{Request: 99, Client: "a", Number: n})
 			return b.submit("a", n, 1, time.Second)
 		}},
-		{shallotrouter.Unknown, false, func(b *bench, n uint64) []Effect {
+		{shallotrouter.Unknown, false, func(b *harness, n uint64) []Effect {
 			b.request++
 			return b.step(Submit{Request: b.request, Client: "a", Number: n, Job: shallotrouter.Job{Service: "none"}})
 		}},
 	}
 	for _, c := range cases {
-		b := newBench(t, 1)
-		n := b.ticket()
+		b := newHarness(t, 1)
+		n := b.takeTicket()
 		effects := c.act(b, n)
 		found := false
-		for _, r := range only[Reply](effects) {
+		for _, r := range effectsOf[Reply](effects) {
 			if r.Number == n {
 				found = true
 				assert.Equal(t, shallotrouter.Refused, r.Answer.Outcome, c.reason)
 				assert.Equal(t, c.reason, r.Answer.Reason)
-				assert.Equal(t, c.back, r.Answer.After > 0, "%s: %s", c.reason, r.Answer.Message)
+				assert.Equal(t, c.retryAfter, r.Answer.After > 0, "%s: %s", c.reason, r.Answer.Message)
 			}
 		}
-		assert.True(t, found, "%s has an answer", c.reason)
-		for _, s := range only[Start](append(effects, b.pass(2*time.Second)...)) {
+		assert.True(t, found, "a job refused as %s has an answer", c.reason)
+		for _, s := range effectsOf[Start](append(effects, b.advance(2*time.Second)...)) {
 			assert.NotEqual(t, n, s.Number, c.reason)
 		}
 	}
 }
 
-// TestConfigurationNeverGoesBack offers versions out of order.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	b := newBench(t, 1)
+// TestOlderConfigurationIsIgnored delivers configuration versions out of order.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	b := newHarness(t, 1)
 	b.step(Adopt{Config: config(t, 5, declarer.Peak)})
 	b.step(Adopt{Config: config(t, 4, declarer.Maintenance)})
 	b.step(Adopt{Config: config(t, 5, declarer.Maintenance)})
@@ -270,33 +272,34 @@
 	assert.Equal(t, declarer.Peak, v.Current().Name)
 }
 
-// TestPauseReadsStateAnew requires that nothing starts between a thaw and fresh
-// state, and that a host that is cut off goes on after a while.
-func TestPauseReadsStateAnew(t *testing.T) {
+// TestNothingStartsAfterPauseBeforeStateIsRead requires that nothing starts between
+// the end of a pause and the arrival of current state, and that a host that is cut
+// off resumes after a timeout.
+func TestNothingStartsAfterPauseBeforeStateIsRead(t *testing.T) {
 	for _, fresh := range []Event{Confirm{Directory: 1}, Hear{Report: Report{Host: "h2", Zone: "z"}}, nil} {
-		b := newBench(t, 1)
-		n := b.ticket()
-		effects := b.later(b.Bounds.Pause+time.Second, Tick{})
-		assert.Len(t, only[Refresh](effects), 1)
+		b := newHarness(t, 1)
+		n := b.takeTicket()
+		effects := b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
+		assert.Len(t, effectsOf[Refresh](effects), 1)
 		assert.Equal(t, Suspended, b.Phase())
-		assert.Empty(t, only[Start](b.submit("a", n, 1, time.Second)))
+		assert.Empty(t, effectsOf[Start](b.submit("a", n, 1, time.Second)))
 		if fresh != nil {
 			b.step(fresh)
 		} else {
-			b.pass(resumeAfter + time.Second)
+			b.advance(resumeTimeout + time.Second)
 		}
 		assert.Equal(t, Serving, b.Phase())
-		assert.Len(t, only[Start](b.submit("a", n, 1, time.Second)), 1, "the refused ticket is still good")
+		assert.Len(t, effectsOf[Start](b.submit("a", n, 1, time.Second)), 1, "the ticket of the refused job is still valid")
 	}
 }
 
-// TestHopelessClient requires that a client whose tasks fail everywhere does not
-// get targets ejected.
-func TestHopelessClient(t *testing.T) {
-	b := newBench(t, 12) // of which 4 may be ejected
+// TestAlwaysFailingClientDoesNotEjectTargets requires that a client whose tasks fail
+// at every target does not get the targets ejected.
+func TestAlwaysFailingClientDoesNotEjectTargets(t *testing.T) {
+	b := newHarness(t, 12) // 4 of them may be ejected
 	for range 60 {
-		for _, s := range only[Start](b.submit("a", b.ticket(), 1, time.Minute)) {
-			b.end(s, Wrong)
+		for _, s := range effectsOf[Start](b.submit("a", b.takeTicket(), 1, time.Minute)) {
+			b.endStart(s, Wrong)
 		}
 	}
 	ejected := 0
@@ -305,19 +308,19 @@
 			ejected++
 		}
 	}
-	assert.LessOrEqual(t, ejected, 2, "those that failed before the client was known")
-	assert.False(t, b.blames(&job{service: "s", client: "a"}).rate < hopelessRate)
+	assert.LessOrEqual(t, ejected, 2, "targets that were ejected before the failures were attributed to the client")
+	assert.False(t, b.failureRecordOf(&job{service: "s", client: "a"}).failureRate < alwaysFailingRate)
 }
 
-// TestCancelCost requires that cancelling does the same work for any number of
-// waiting tasks.
-func TestCancelCost(t *testing.T) {
+// TestCancelCostIsFlat requires that the cost of a cancellation does not depend on
+// the number of waiting tasks.
+func TestCancelCostIsFlat(t *testing.T) {
 	cost := func(tasks int) float64 {
-		b := newBench(t, 1)
-		b.submit("b", b.ticket(), 2, time.Hour)
+		b := newHarness(t, 1)
+		b.submit("b", b.takeTicket(), 2, time.Hour)
 		var numbers []uint64
 		for range 12 {
-			numbers = append(numbers, b.ticket())
+			numbers = append(numbers, b.takeTicket())
 			b.submit("a", numbers[len(numbers)-1], tasks, time.Hour)
 		}
 		next := 0
@@ -329,86 +332,86 @@
 	assert.InDelta(t, cost(1), cost(200), 1)
 }
 
-// TestStatusHidesTokens requires that no token or hash shows in a status.
+// TestStatusHidesTokens requires that a status contains no token and no hash of one.
 func TestStatusHidesTokens(t *testing.T) {
-	b := newBench(t, 1)
-	b.submit("a", b.ticket(), 3, time.Second)
-	surveyed := only[Surveyed](b.step(Survey{}))
+	b := newHarness(t, 1)
+	b.submit("a", b.takeTicket(), 3, time.Second)
+	surveyed := effectsOf[Surveyed](b.step(Survey{}))
 	require.Len(t, surveyed, 1)
 	assert.NotContains(t, fmt.Sprintf("%+v", surveyed[0]), strings.Repeat("0", 60))
 	assert.Equal(t, 1, surveyed[0].Status.Open)
 }
 
-// TestMoreHostsThanSlots requires that hosts share a pool with fewer slots than
-// hosts, and that each gets a slot when it alone wants one.
-func TestMoreHostsThanSlots(t *testing.T) {
-	b := newBench(t, 1)
+// TestMoreHostsThanSlotsShareThePool requires that a host gets a slot of a pool with
+// fewer slots than hosts when no other host wants one.
+func TestMoreHostsThanSlotsShareThePool(t *testing.T) {
+	b := newHarness(t, 1)
 	for _, name := range []string{"h0", "h2", "h3", "h4"} {
 		b.step(Hear{Report: Report{Host: name, Zone: "z", Incarnation: 1}})
 	}
-	assert.Len(t, only[Start](append(b.submit("a", b.ticket(), 1, time.Second), b.pass(200*time.Millisecond)...)), 1)
+	assert.Len(t, effectsOf[Start](append(b.submit("a", b.takeTicket(), 1, time.Second), b.advance(200*time.Millisecond)...)), 1)
 }
 
-// TestHold requires that one client's long tasks leave room for others, and that
-// short ones may take every slot.
-func TestHold(t *testing.T) {
+// TestLongTasksLeaveSlotsForOthers requires that the long tasks of one client leave
+// slots for other clients, and that its short tasks may take every slot.
+func TestLongTasksLeaveSlotsForOthers(t *testing.T) {
 	for _, c := range []struct {
 		expect time.Duration
 		starts int
 	}{{10 * time.Second, 6}, {100 * time.Millisecond, 8}} {
-		b := newBench(t, 4) // 8 slots, of which long tasks of one client may hold 75 %
+		b := newHarness(t, 4) // 8 slots; long tasks of one client may use 75 % of them
 		b.request++
 		job := shallotrouter.Job{Service: "s", Deadline: shallotrouter.Duration(time.Hour)}
 		for range 20 {
 			job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: "k", Expect: shallotrouter.Duration(c.expect)})
 		}
-		starts := only[Start](b.step(Submit{Request: b.request, Client: "a", Number: b.ticket(), Job: job}))
+		starts := effectsOf[Start](b.step(Submit{Request: b.request, Client: "a", Number: b.takeTicket(), Job: job}))
 		assert.Len(t, starts, c.starts)
 		if c.starts < 8 {
-			assert.Len(t, only[Start](b.submit("b", b.ticket(), 1, time.Hour)), 1, "a small job finds a slot")
+			assert.Len(t, effectsOf[Start](b.submit("b", b.takeTicket(), 1, time.Hour)), 1, "a small job of another client finds a slot")
 		}
 	}
 }
 
-// TestWeights requires that clients with work waiting get executor time by
-// weight.
-func TestWeights(t *testing.T) {
-	b := newBench(t, 2)
+// TestClientsGetRunTimeByWeight requires that clients with waiting tasks get run time
+// in proportion to their weights.
+func TestClientsGetRunTimeByWeight(t *testing.T) {
+	b := newHarness(t, 2)
 	for range 20 {
-		b.submit("a", b.ticket(), 100, time.Hour)
-		b.submit("b", b.ticket(), 100, time.Hour)
+		b.submit("a", b.takeTicket(), 100, time.Hour)
+		b.submit("b", b.takeTicket(), 100, time.Hour)
 	}
-	var flying []Start
+	var inFlight []Start
 	count := map[string]int{}
-	flying = append(flying, only[Start](b.step(Tick{}))...)
-	for _, n := range []uint64{1, 2} { // the first jobs' tasks are in flight already
+	inFlight = append(inFlight, effectsOf[Start](b.step(Tick{}))...)
+	for _, n := range []uint64{1, 2} { // tasks of the first two jobs are in flight already
 		for i := range b.jobs[n].tasks {
 			if k := &b.jobs[n].tasks[i]; k.state == taskSent {
-				flying = append(flying, Start{Number: n, Task: i, Target: k.target.name, Client: b.jobs[n].client})
+				inFlight = append(inFlight, Start{Number: n, Task: i, Target: k.target.name, Client: b.jobs[n].client})
 			}
 		}
 	}
 	for range 400 {
-		s := flying[0]
-		flying = append(flying[1:], only[Start](b.end(s, Done))...)
+		s := inFlight[0]
+		inFlight = append(inFlight[1:], effectsOf[Start](b.endStart(s, Done))...)
 		count[s.Client]++
 	}
 	assert.InDelta(t, 3, float64(count["b"])/float64(count["a"]), 0.3)
 }
 
-// TestPauseGivesUpReturnedTasks requires that a task that was sent before a freeze
-// and proves not to have started is not sent again after it.
-func TestPauseGivesUpReturnedTasks(t *testing.T) {
+// TestTaskReturnedAfterPauseIsNotSentAgain requires that a task that was sent before a
+// pause of the process, and provably did not start, is not sent again after it.
+func TestTaskReturnedAfterPauseIsNotSentAgain(t *testing.T) {
 	for _, first := range []Result{Done, Late} {
-		b := newBench(t, 1)
-		starts := only[Start](b.submit("a", b.ticket(), 2, time.Hour))
+		b := newHarness(t, 1)
+		starts := effectsOf[Start](b.submit("a", b.takeTicket(), 2, time.Hour))
 		require.Len(t, starts, 2)
-		b.later(b.Bounds.Pause+time.Second, Tick{})
-		effects := append(b.end(starts[0], first), b.end(starts[1], Late)...)
+		b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
+		effects := append(b.endStart(starts[0], first), b.endStart(starts[1], Late)...)
 		effects = append(effects, b.step(Confirm{Directory: 1})...)
-		effects = append(effects, b.pass(2*time.Second)...)
-		assert.Empty(t, only[Start](effects))
-		replies := only[Reply](effects)
+		effects = append(effects, b.advance(2*time.Second)...)
+		assert.Empty(t, effectsOf[Start](effects))
+		replies := effectsOf[Reply](effects)
 		require.Len(t, replies, 1)
 		assert.Equal(t, shallotrouter.Paused, replies[0].Answer.Reason)
 		assert.Equal(t, shallotrouter.Failed, replies[0].Answer.Outcome, "the other task may have run")
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -11,56 +11,56 @@
 	"github.com/shallotrouter/shallotrouter/internal/divider"
 )
 
-// share computes this host's part of the slots and its flows' weights. It uses
-// what this host has published, not what it knows of itself, so that every host
-// of the zone divides the same figures (#5).
-func (s *Scheduler) share(p *pool) {
-	p.outdated = false
-	s.demands = s.demands[:0]
-	p.counted = p.counted[:0]
-	p.wanted = false
+// divideSlots computes this host's range of the pool's slots and the weights of
+// its flows. For this host it uses the last published report and not the current
+// demand, so that every host of the zone computes from the same numbers (#5).
+func (s *Scheduler) divideSlots(p *pool) {
+	p.divisionOutdated = false
+	s.poolDemands = s.poolDemands[:0]
+	p.sharedSlots = p.sharedSlots[:0]
+	p.peersWaiting = false
 	for _, t := range p.targets {
-		t.held, t.owed = 0, 0
+		t.rangeSlots, t.outOfRangeTasks = 0, 0
 	}
-	for _, t := range p.ring {
-		if t.counted() {
-			p.counted = append(p.counted, t)
+	for _, t := range p.slotOrder {
+		if t.isShared() {
+			p.sharedSlots = append(p.sharedSlots, t)
 		}
 	}
-	slots := len(p.counted)
-	holders := s.holders(p, slots)
-	slots -= keepReserves(holders, slots)
-	division := divider.Divide(float64(slots), s.demands)
+	slots := len(p.sharedSlots)
+	holders := s.slotHolders(p, slots)
+	slots -= boundReserves(holders, slots)
+	division := divider.Divide(float64(slots), s.poolDemands)
 	p.level = division.Level
-	s.adopt(p, division)
+	s.setFlowWeights(p, division)
 	for _, r := range divider.Lay(division, holders) {
-		s.hold(p, r)
+		s.applyRange(p, r)
 	}
 }
 
-// holders returns the hosts that share the pool, and gathers their demands. A
-// host without waiting work gets a reserve, so that a small job finds a free
-// slot there while the others are backlogged.
-func (s *Scheduler) holders(p *pool, slots int) []divider.Holder {
+// slotHolders returns the hosts that share the pool and collects their demands. A
+// host without waiting tasks gets a reserve, so that a small job finds a free
+// slot there while the other hosts have a backlog.
+func (s *Scheduler) slotHolders(p *pool, slots int) []divider.Holder {
 	reserve := int(math.Ceil(s.config.Current().Reserve * float64(slots)))
-	holders := []divider.Holder{{Host: s.Host, Reserve: s.demandOf(p, s.sent, reserve)}}
+	holders := []divider.Holder{{Host: s.Host, Reserve: s.collectDemand(p, s.lastReport, reserve)}}
 	for _, r := range s.peers {
-		if r.present() {
-			holders = append(holders, divider.Holder{Host: r.report.Host, Reserve: s.demandOf(p, r.report, reserve)})
+		if r.isPresent() {
+			holders = append(holders, divider.Holder{Host: r.report.Host, Reserve: s.collectDemand(p, r.report, reserve)})
 		}
 	}
 	slices.SortFunc(holders, func(a, b divider.Holder) int { return strings.Compare(a.Host, b.Host) })
 	return holders
 }
 
-// keepReserves returns the sum of the reserves, and drops them all when they
-// would take too great a part of the slots.
-func keepReserves(holders []divider.Holder, slots int) int {
+// boundReserves returns the sum of the reserves. If the sum exceeds
+// 1/reserveDivisor of the slots, it sets all reserves to 0 and returns 0.
+func boundReserves(holders []divider.Holder, slots int) int {
 	sum := 0
 	for _, h := range holders {
 		sum += h.Reserve
 	}
-	if sum <= slots/leastReserved {
+	if sum <= slots/reserveDivisor {
 		return sum
 	}
 	for i := range holders {
@@ -69,22 +69,22 @@
 	return 0
 }
 
-// leastReserved is the divisor that bounds the part of the slots in reserves.
-const leastReserved = 4
+// reserveDivisor limits the reserves of all hosts together to a quarter of the slots.
+const reserveDivisor = 4
 
-// demandOf adds what one host reported of the pool's clients, and returns the
-// reserve that it gets.
-func (s *Scheduler) demandOf(p *pool, report Report, reserve int) int {
+// collectDemand adds the demands that one host reported for the pool and returns
+// the host's reserve: 0 if it has waiting tasks or is leaving.
+func (s *Scheduler) collectDemand(p *pool, report Report, reserve int) int {
 	for _, d := range report.Demands {
 		if d.Service != p.service.Name {
 			continue
 		}
 		if d.Waiting > 0 {
 			reserve = 0
-			p.wanted = p.wanted || report.Host != s.Host
+			p.peersWaiting = p.peersWaiting || report.Host != s.Host
 		}
-		s.demands = append(s.demands, divider.Demand{
-			Host: report.Host, Client: d.Client, Weight: s.weight(d.Client), Tasks: float64(d.Running + d.Waiting),
+		s.poolDemands = append(s.poolDemands, divider.Demand{
+			Host: report.Host, Client: d.Client, Weight: s.declaredWeight(d.Client), Tasks: float64(d.Running + d.Waiting),
 		})
 	}
 	if report.Leaving {
@@ -93,61 +93,63 @@
 	return reserve
 }
 
-// hold notes one host's range: for this host the slots that it may use of each
-// target, for a peer those of its tasks that run outside its range.
-func (s *Scheduler) hold(p *pool, r divider.Range) {
+// applyRange applies one host's range of slots. For this host it sets the quota
+// and the slots that it may use at each target. For a peer it counts the peer's
+// tasks at each target that exceed the peer's slots there.
+func (s *Scheduler) applyRange(p *pool, r divider.Range) {
 	if r.Host == s.Host {
 		p.quota = r.Slots()
-		for _, t := range p.counted[r.From:r.To] {
-			t.held++
+		for _, t := range p.sharedSlots[r.From:r.To] {
+			t.rangeSlots++
 		}
 		return
 	}
-	uses := s.peers[r.Host].uses
+	uses := s.peers[r.Host].tasksByTarget
 	for _, t := range p.targets {
-		t.yielded = 0
+		t.peerRangeSlots = 0
 	}
-	for _, t := range p.counted[r.From:r.To] {
-		t.yielded++
+	for _, t := range p.sharedSlots[r.From:r.To] {
+		t.peerRangeSlots++
 	}
 	for _, t := range p.targets {
-		t.owed += max(0, uses[t.name]-t.yielded)
+		t.outOfRangeTasks += max(0, uses[t.name]-t.peerRangeSlots)
 	}
 }
 
-// arrangeSlots puts the pool's slots into the order in which hosts hold them.
-// Each target's slots are evenly spaced in it, so that every range has a like
-// part of each target, and a target that goes away moves the others by little.
-func (p *pool) arrangeSlots() {
-	type place struct {
+// orderSlots computes the order of the pool's slots, of which each host holds one
+// range. The slots of each target are evenly spaced in the order. Every range
+// therefore has about the same part of each target, and the removal of a target
+// moves the other slots only a little.
+func (p *pool) orderSlots() {
+	type slotPosition struct {
 		target   *target
 		position float64
 	}
-	var places []place
+	var positions []slotPosition
 	for _, t := range p.targets {
 		offset := float64(xxhash.Sum64String(t.name)) / math.MaxUint64
 		for i := range t.slots {
-			places = append(places, place{t, (float64(i) + offset) / float64(t.slots)})
+			positions = append(positions, slotPosition{t, (float64(i) + offset) / float64(t.slots)})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(positions, func(a, b slotPosition) int {
 		if c := cmp.Compare(a.position, b.position); c != 0 {
 			return c
 		}
 		return strings.Compare(a.target.name, b.target.name)
 	})
-	p.ring = p.ring[:0]
-	for _, x := range places {
-		p.ring = append(p.ring, x.target)
+	p.slotOrder = p.slotOrder[:0]
+	for _, x := range positions {
+		p.slotOrder = append(p.slotOrder, x.target)
 	}
 }
 
-// adopt sets the weights of this host's flows: the share of a client that wants
-// more than it gets, and the whole level for a client that is satisfied, so
-// that its next burst is not spread over time.
-func (s *Scheduler) adopt(p *pool, division divider.Division) {
+// setFlowWeights sets the weights of this host's flows. A client that wants more
+// than its share gets the share as its weight. A satisfied client gets the full
+// level, so that the tasks of its next burst are not delayed.
+func (s *Scheduler) setFlowWeights(p *pool, division divider.Division) {
 	for _, f := range p.flows {
-		f.weight = f.declared * p.level
+		f.weight = f.declaredWeight * p.level
 	}
 	for _, x := range division.Shares {
 		if x.Host != s.Host || x.Satisfied {
@@ -159,8 +161,8 @@
 	}
 }
 
-// weight returns the declared weight of a client.
-func (s *Scheduler) weight(client string) float64 {
+// declaredWeight returns the declared weight of a client, 1 by default.
+func (s *Scheduler) declaredWeight(client string) float64 {
 	if c, ok := s.clients[client]; ok {
 		return c.Weight
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -8,12 +8,12 @@
 	"github.com/shallotrouter/shallotrouter/internal/declarer"
 )
 
-// Survey asks for the host's state. It is answered by a Surveyed effect.
+// Survey requests the host's status. It is answered by a Surveyed effect.
 type Survey struct{ Request uint64 }
 
 func (Survey) event() {}
 
-// Surveyed answers a Survey.
+// Surveyed answers a Survey request.
 type Surveyed struct {
 	Request uint64
 	Status  Status
@@ -21,7 +21,7 @@
 
 func (Surveyed) effect() {}
 
-// Status is what an operator sees of a host.
+// Status is the status of a host for operators.
 type Status struct {
 	Host      string `json:"host"`
 	Zone      string `json:"zone"`
@@ -42,7 +42,7 @@
 	Quotas  []QuotaStatus  `json:"quotas"`
 }
 
-// PeerStatus is one peer as the host sees it.
+// PeerStatus is the state of one peer as the host sees it.
 type PeerStatus struct {
 	Host    string        `json:"host"`
 	State   Presence      `json:"state"`
@@ -50,7 +50,7 @@
 	Version uint64        `json:"version"`
 }
 
-// TargetStatus is one target as the host sees it.
+// TargetStatus is the state of one target as the host sees it.
 type TargetStatus struct {
 	Target  string  `json:"target"`
 	Service string  `json:"service"`
@@ -60,11 +60,11 @@
 	Others  int     `json:"others"`
 	Ratio   float64 `json:"ratio"`
 	Ejector string  `json:"ejector,omitempty"`
-	// Why tells what put the target into its state.
+	// Why describes what caused the target's state.
 	Why string `json:"why,omitempty"`
 }
 
-// ClientStatus is one client of one service at the host.
+// ClientStatus is the state of one client of one service at the host.
 type ClientStatus struct {
 	Service string  `json:"service"`
 	Client  string  `json:"client"`
@@ -74,7 +74,7 @@
 	Share   float64 `json:"share"`
 }
 
-// QuotaStatus is the host's part of one service.
+// QuotaStatus is the host's part of the slots of one service.
 type QuotaStatus struct {
 	Service string `json:"service"`
 	Slots   int    `json:"slots"`
@@ -82,57 +82,58 @@
 	Running int    `json:"running"`
 }
 
-// survey answers with the host's state.
-func (s *Scheduler) survey(e Survey) {
+// handleSurvey answers with the host's status.
+func (s *Scheduler) handleSurvey(e Survey) {
 	st := Status{
 		Host: s.Host, Zone: s.Zone, Phase: s.Phase(), Directory: s.directory.Version,
-		Open: s.open, Waiting: s.waiting, Kept: len(s.kept), KeptBytes: s.keptBytes, Ranges: s.ledger.Ranges(),
+		Open: s.openJobs, Waiting: s.waitingTasks, Kept: len(s.retained), KeptBytes: s.retainedBytes, Ranges: s.ledger.Ranges(),
 	}
 	if s.config != nil {
 		st.Version, st.Preset = s.config.Version, string(s.config.Row.Preset)
 	}
 	for _, r := range s.peers {
 		st.Peers = append(st.Peers, PeerStatus{
-			Host: r.report.Host, State: Presence(r.machine.Current()), Age: s.now.Sub(r.heard), Version: r.report.Config,
+			Host: r.report.Host, State: Presence(r.machine.Current()), Age: s.now.Sub(r.lastReceived), Version: r.report.Config,
 		})
 	}
 	slices.SortFunc(st.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Host, b.Host) })
-	for _, name := range s.services {
-		s.surveyPool(s.pools[name], &st)
+	for _, name := range s.serviceNames {
+		s.addPoolStatus(s.pools[name], &st)
 	}
 	s.emit(Surveyed{Request: e.Request, Status: st})
 }
 
-func (s *Scheduler) surveyPool(p *pool, st *Status) {
-	st.Quotas = append(st.Quotas, QuotaStatus{Service: p.service.Name, Slots: s.slots(p), Quota: p.quota, Running: p.running})
+func (s *Scheduler) addPoolStatus(p *pool, st *Status) {
+	st.Quotas = append(st.Quotas, QuotaStatus{Service: p.service.Name, Slots: s.usableSlots(p), Quota: p.quota, Running: p.running})
 	for _, t := range p.targets {
 		st.Targets = append(st.Targets, TargetStatus{
 			Target: t.name, Service: p.service.Name, State: t.state(), Slots: t.slots,
-			Own: t.own, Others: t.others, Ratio: t.ratio, Ejector: t.ejector, Why: t.why,
+			Own: t.ownTasks, Others: t.peerTasks, Ratio: t.runTimeRatio, Ejector: t.ejector, Why: t.stateReason,
 		})
 	}
-	for _, name := range p.names() {
+	for _, name := range p.clientNames() {
 		f := p.flows[name]
 		st.Clients = append(st.Clients, ClientStatus{
-			Service: p.service.Name, Client: name, Waiting: f.waiting, Running: f.running, Weight: f.declared, Share: f.weight,
+			Service: p.service.Name, Client: name, Waiting: f.waiting, Running: f.running, Weight: f.declaredWeight, Share: f.weight,
 		})
 	}
 }
 
-// View is the part of the state that the transports follow.
+// View is the part of the state that the transports use.
 type View struct {
 	Phase     Phase
 	Config    *declarer.Config
 	Directory Directory
-	// Hosts counts the entry hosts of the zone that are present, this included.
+	// Hosts is the number of present entry hosts of the zone, including this one.
 	Hosts int
 }
 
-// View returns the current view. What it points to is not changed later.
+// View returns the current view. The scheduler does not modify the values that it
+// points to.
 func (s *Scheduler) View() View {
 	hosts := 1
 	for _, r := range s.peers {
-		if r.present() {
+		if r.isPresent() {
 			hosts++
 		}
 	}
@@ -140,7 +141,7 @@
 }
 
 // Open returns the number of jobs without a final answer.
-func (s *Scheduler) Open() int { return s.open }
+func (s *Scheduler) Open() int { return s.openJobs }
 
 // Waiting returns the number of tasks that wait for a slot.
-func (s *Scheduler) Waiting() int { return s.waiting }
+func (s *Scheduler) Waiting() int { return s.waitingTasks }
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -9,100 +9,107 @@
 	"github.com/shallotrouter/shallotrouter/internal/transitioner"
 )
 
-// target is one back end as this host sees it.
+// target is the state of one target as this host sees it.
 type target struct {
-	name      string
-	address   string
-	pool      *pool
-	machine   *fsm.FSM
-	current   State
-	why       string    // why it is in that state
-	listed    bool      // the directory says that it is leaving
-	told      time.Time // its own word that it is leaving holds until then
-	warned    time.Time // a peer's first-hand word that it is leaving holds until then
-	slots     int
-	own       int // this host's tasks in flight
-	others    int // the peers' tasks in flight, as last reported
-	held      int // slots in this host's range
-	owed      int // peers' tasks in flight outside of the peers' ranges
-	yielded   int // slots in the range of the peer that is looked at
-	busy      int // refusals in a row
-	full      int // the peers' tasks that the last refusal proves
-	fullUntil time.Time
-	flights   []*flight
+	name             string
+	address          string
+	pool             *pool
+	machine          *fsm.FSM
+	currentState     State
+	stateReason      string    // what caused the current state
+	listedLeaving    bool      // the directory lists the target as leaving
+	leavingUntil     time.Time // until then the target's own answer that it is leaving counts
+	peerLeavingUntil time.Time // until then a peer's report that it is leaving counts
+	slots            int
+	ownTasks         int // this host's tasks in flight
+	peerTasks        int // the peers' tasks in flight, as last reported
+	rangeSlots       int // slots at the target in this host's range
+	outOfRangeTasks  int // peers' tasks in flight beyond the peers' slots at the target
+	peerRangeSlots   int // scratch value of applyRange: slots in the range of one peer
+	busyCount        int // busy answers in a row
+	provenPeerTasks  int // peers' tasks that the last busy answer proves, until provenUntil
+	provenUntil      time.Time
+	runs             []*run
 
-	failures   int // failed jobs in a row
-	lastFailed uint64
-	unsent     int     // failures to reach it in a row
-	ratio      float64 // run time over the expected one, smoothed
-	doubt      float64 // surprise of the tasks that ended, beyond the usual
-	flying     float64 // surprise of the tasks in flight, beyond the usual
-	doubted    float64 // the peers' doubt, as last reported
-	retryAt    time.Time
-	interval   time.Duration
-	ejector    string // the least name among the peers that eject it
-	followed   bool   // a peer with a lesser name ejected it, and decides
+	failureCount      int // different failed jobs in a row
+	lastFailedJob     uint64
+	unreachableCount  int     // failed connections in a row
+	runTimeRatio      float64 // smoothed ratio of actual to expected run time
+	suspicion         float64 // sum of the surprise of ended tasks above surpriseAllowance, at least 0
+	inFlightSuspicion float64 // sum of the surprise of each task in flight above surpriseAllowance
+	peerSuspicion     float64 // sum of the peers' suspicion, as last reported
+	trialAt           time.Time
+	trialInterval     time.Duration
+	ejector           string // first by name of the peers that report the target as ejected, or empty
+	followsPeer       bool   // the ejector's name sorts before this host's name, so that its trial decides
 }
 
-// flight is one task that is running at a target.
-type flight struct {
-	job   *job
-	index int
-	sent  time.Time
-	kind  string
+// run is one start of a task at a target that has not ended.
+type run struct {
+	job    *job
+	index  int
+	sentAt time.Time
+	kind   string
 }
 
 const (
-	// failureStreak is the number of different jobs that must fail in a row
-	// before a target is ejected.
-	failureStreak = 3
-	// unsentStreak is the number of failed connections in a row that eject.
-	unsentStreak = 2
-	// ratioCap bounds what one run time adds to the smoothed slowness.
-	ratioCap = 3
-	// ratioGain is the weight of one run time in the smoothed slowness.
+	// maxFailuresInRow is the number of different jobs that fail in a row at a
+	// target before it is ejected.
+	maxFailuresInRow = 3
+	// maxUnreachableInRow is the number of failed connections in a row after which
+	// a target is ejected.
+	maxUnreachableInRow = 2
+	// maxRatio limits the run time ratio that one task adds to the smoothed ratio.
+	maxRatio = 3
+	// ratioGain is the weight of one task in the smoothed run time ratio.
 	ratioGain = 0.1
-	// usualSurprise is subtracted from the surprise of each task; on a healthy
-	// target the mean is below 1.
-	usualSurprise = 2
-	// slowDoubt is the doubt of all hosts together that ejects a target.
-	slowDoubt = 16
-	// usualDoubt is how many times the mean doubt about all targets is allowed
-	// to each beside that.
-	usualDoubt = 2
-	// doubtStep is the grain in which hosts report their doubt.
-	doubtStep = 4
-	// trialSurprise is the most that a task of a passed trial may surprise.
-	trialSurprise = 3
-	// firstTrial and lastTrial bound the growing interval between trials.
-	firstTrial = 10 * time.Second
-	lastTrial  = 5 * time.Minute
-	// unsentTrial is the first interval for a target that cannot be reached,
-	// whose trial costs no job.
-	unsentTrial = time.Second
-	// ejectedPart bounds the part of a pool's targets that may be ejected.
-	ejectedPart = 1.0 / 3
-	// leaveMemory is how long the word that a target is leaving holds, its own or
-	// a peer's. It outlasts the peer (#4).
-	leaveMemory = 5 * time.Minute
-	// firstFull and lastFull bound the growing time for which a busy answer
-	// proves that the peers hold the target's other slots.
-	firstFull = 50 * time.Millisecond
-	lastFull  = 400 * time.Millisecond
+	// surpriseAllowance is subtracted from the surprise (estimator.Estimator.Surprise)
+	// of each task. At a healthy target the mean surprise is below 1.
+	surpriseAllowance = 2
+	// ejectSuspicion is the sum of all hosts' suspicion at which a target is
+	// ejected, in addition to meanSuspicionFactor times the pool's mean.
+	ejectSuspicion = 16
+	// meanSuspicionFactor is the multiple of the pool's mean suspicion that is
+	// allowed to every target in addition to ejectSuspicion.
+	meanSuspicionFactor = 2
+	// suspicionStep is the unit in which hosts report their suspicion.
+	suspicionStep = 4
+	// maxTrialSurprise is the highest surprise of a task with which its target
+	// passes the trial.
+	maxTrialSurprise = 3
+	// minTrialInterval and maxTrialInterval limit the interval between trials,
+	// which doubles after each failed trial.
+	minTrialInterval = 10 * time.Second
+	maxTrialInterval = 5 * time.Minute
+	// minUnreachableTrialInterval is the first interval for an unreachable target.
+	// It is shorter because a failed connection costs no job.
+	minUnreachableTrialInterval = time.Second
+	// maxEjectedFraction limits the fraction of a pool's targets that may be
+	// ejected at a time.
+	maxEjectedFraction = 1.0 / 3
+	// leavingPeriod is how long a target counts as leaving after its own answer or
+	// a peer's report. It holds even if the peer leaves or restarts (#4).
+	leavingPeriod = 5 * time.Minute
+	// minFullPeriod and maxFullPeriod limit the time for which a busy answer is
+	// taken as proof that the peers use all other slots of the target. The time
+	// doubles with each further busy answer in a row.
+	minFullPeriod = 50 * time.Millisecond
+	maxFullPeriod = 400 * time.Millisecond
 )
 
 func newTarget(name string, p *pool) *target {
 	return &target{
-		name: name, pool: p, slots: p.service.Slots, ratio: 1,
-		machine: transitioner.Build(Live, targetRules...), current: Live,
+		name: name, pool: p, slots: p.service.Slots, runTimeRatio: 1,
+		machine: transitioner.Build(Live, targetRules...), currentState: Live,
 	}
 }
 
-// state returns the state of the machine, which takes a lock to be asked.
-func (t *target) state() State { return t.current }
+// state returns the cached state of the machine; a query of the machine itself
+// takes a lock.
+func (t *target) state() State { return t.currentState }
 
-// usable reports whether the target may take new tasks.
-func (t *target) usable() bool {
+// isUsable reports whether the target may get new tasks, apart from trials.
+func (t *target) isUsable() bool {
 	switch t.state() {
 	case Live:
 		return t.ejector == ""
@@ -111,173 +118,180 @@
 	return false
 }
 
-// counted reports whether the target's slots are shared out.
-func (t *target) counted() bool { return t.state() == Live && t.ejector == "" }
+// isShared reports whether the target's slots are divided between the hosts.
+func (t *target) isShared() bool { return t.state() == Live && t.ejector == "" }
 
-// free returns the slots of this host's range that it does not use. A peer's task
-// may still be there; the target then holds the next one until it ends. What a
-// busy answer has proved counts against it.
-func (t *target) free(now time.Time) int {
-	free := t.held - t.own
-	if now.Before(t.fullUntil) {
-		free = min(free, t.slots-t.own-t.full)
+// freeSlots returns the slots of this host's range that the host does not use. If
+// a peer's task still runs in such a slot, the target holds the next task back
+// until the peer's task ends. A recent busy answer reduces the number.
+func (t *target) freeSlots(now time.Time) int {
+	free := t.rangeSlots - t.ownTasks
+	if now.Before(t.provenUntil) {
+		free = min(free, t.slots-t.ownTasks-t.provenPeerTasks)
 	}
 	return free
 }
 
-// refuse records a busy answer.
-func (t *target) refuse(now time.Time) {
-	t.full = t.slots - t.own
-	t.fullUntil = now.Add(min(firstFull<<min(t.busy, 3), lastFull))
-	t.busy++
+// recordBusy records that the target had no slot for a task in time: the peers use
+// all slots that this host does not use.
+func (t *target) recordBusy(now time.Time) {
+	t.provenPeerTasks = t.slots - t.ownTasks
+	t.provenUntil = now.Add(min(minFullPeriod<<min(t.busyCount, 3), maxFullPeriod))
+	t.busyCount++
 }
 
-// shift moves the target to another state and logs it.
-func (s *Scheduler) shift(t *target, event targetEvent, reason string) {
+// changeTargetState applies the event to the target's state if the state allows
+// it, and logs the change.
+func (s *Scheduler) changeTargetState(t *target, event targetEvent, reason string) {
 	if !t.machine.Can(string(event)) {
 		return
 	}
 	if err := t.machine.Event(context.Background(), string(event)); err != nil {
-		s.violate("target life cycle", "%s of %s: %v", event, t.name, err)
+		s.reportViolation("target life cycle", "event %s of target %s: %v", event, t.name, err)
 		return
 	}
-	t.current, t.why = State(t.machine.Current()), reason
-	t.pool.outdated = true
-	s.urgent = true
+	t.currentState, t.stateReason = State(t.machine.Current()), reason
+	t.pool.divisionOutdated = true
+	s.reportUrgent = true
 	s.emit(Decide{Action: Mark, Target: t.name, Outcome: "", Reason: string(event) + " " + reason})
 }
 
-// settle moves a target into or out of Departing by all that was told of it.
-func (s *Scheduler) settle(t *target) {
-	leaving := t.listed || s.now.Before(t.warned) || s.now.Before(t.told) || s.config.Targets.Has(t.name)
+// updateLeaving moves a target into or out of Departing. A target is leaving by
+// the directory, its own answer, a peer's report or the configuration.
+func (s *Scheduler) updateLeaving(t *target) {
+	leaving := t.listedLeaving || s.now.Before(t.peerLeavingUntil) || s.now.Before(t.leavingUntil) || s.config.Targets.Has(t.name)
 	if leaving && t.state() != Departing {
-		s.shift(t, targetLeave, "told to leave")
+		s.changeTargetState(t, targetLeave, "told to leave")
 		s.emit(Retire{Target: t.name})
 	}
 	if !leaving && t.state() == Departing {
-		s.shift(t, targetReturn, "listed as live")
+		s.changeTargetState(t, targetReturn, "listed as live")
 	}
 }
 
-// succeed records a task that the target ran, with its slowness and surprise.
-func (s *Scheduler) succeed(t *target, ratio float64, surprise int) {
-	t.failures, t.unsent, t.busy = 0, 0, 0
-	t.ratio += (min(ratio, ratioCap) - t.ratio) * ratioGain
-	t.doubt = max(0, t.doubt+float64(surprise)-usualSurprise)
+// recordSuccess records a task that ended well at the target, with the ratio of
+// its actual to its expected run time and its surprise.
+func (s *Scheduler) recordSuccess(t *target, ratio float64, surprise int) {
+	t.failureCount, t.unreachableCount, t.busyCount = 0, 0, 0
+	t.runTimeRatio += (min(ratio, maxRatio) - t.runTimeRatio) * ratioGain
+	t.suspicion = max(0, t.suspicion+float64(surprise)-surpriseAllowance)
 	if t.state() != Trial {
 		return
 	}
-	if surprise <= trialSurprise {
-		s.restore(t, "passed its trial")
+	if surprise <= maxTrialSurprise {
+		s.restoreTarget(t, "passed its trial")
 		return
 	}
-	s.eject(t, "slow in its trial", firstTrial)
+	s.ejectTarget(t, "slow in its trial", minTrialInterval)
 }
 
-// restore makes an ejected target live again.
-func (s *Scheduler) restore(t *target, reason string) {
-	t.ratio, t.doubt, t.failures, t.unsent = 1, 0, 0, 0
-	t.interval = 0
-	s.shift(t, targetPass, reason)
+// restoreTarget returns an ejected target to Live and resets its statistics.
+func (s *Scheduler) restoreTarget(t *target, reason string) {
+	t.runTimeRatio, t.suspicion, t.failureCount, t.unreachableCount = 1, 0, 0, 0
+	t.trialInterval = 0
+	s.changeTargetState(t, targetRestore, reason)
 }
 
-// blame records a job that failed on the target. A client whose jobs fail
-// everywhere says nothing about the target.
-func (s *Scheduler) blame(t *target, j *job) {
-	if t.lastFailed == j.number && t.state() != Trial {
+// recordFailure records a job that failed at the target. Failures of a client whose
+// tasks fail at every target do not eject the target.
+func (s *Scheduler) recordFailure(t *target, j *job) {
+	if t.lastFailedJob == j.number && t.state() != Trial {
 		return
 	}
-	t.lastFailed = j.number
-	t.failures++
-	s.blames(j).fail(t.name)
-	if s.blames(j).hopeless() {
+	t.lastFailedJob = j.number
+	t.failureCount++
+	s.failureRecordOf(j).addFailure(t.name)
+	if s.failureRecordOf(j).failsEverywhere() {
 		return
 	}
-	if t.state() == Trial || t.failures >= failureStreak {
-		s.eject(t, "fails what it starts", firstTrial)
+	if t.state() == Trial || t.failureCount >= maxFailuresInRow {
+		s.ejectTarget(t, "fails what it starts", minTrialInterval)
 	}
 }
 
-// unreached records that no connection to the target was made.
-func (s *Scheduler) unreached(t *target) {
-	t.unsent++
-	if t.state() == Trial || t.unsent >= unsentStreak {
-		s.eject(t, "cannot be reached", unsentTrial)
+// recordUnreachable records a failed connection to the target.
+func (s *Scheduler) recordUnreachable(t *target) {
+	t.unreachableCount++
+	if t.state() == Trial || t.unreachableCount >= maxUnreachableInRow {
+		s.ejectTarget(t, "cannot be reached", minUnreachableTrialInterval)
 	}
 }
 
-// eject takes the target out of use until a trial, unless too many are out.
-func (s *Scheduler) eject(t *target, reason string, first time.Duration) {
+// ejectTarget takes the target out of use until its next trial, unless too many
+// targets of the pool are ejected already. minInterval is the shortest time until
+// the trial.
+func (s *Scheduler) ejectTarget(t *target, reason string, minInterval time.Duration) {
 	if t.state() != Live && t.state() != Trial {
 		return
 	}
-	if t.state() == Live && !t.pool.mayEject() {
+	if t.state() == Live && !t.pool.canEject() {
 		return
 	}
-	t.interval = min(max(2*t.interval, first), lastTrial)
-	t.retryAt = s.now.Add(t.interval)
-	s.shift(t, targetEject, reason)
+	t.trialInterval = min(max(2*t.trialInterval, minInterval), maxTrialInterval)
+	t.trialAt = s.now.Add(t.trialInterval)
+	s.changeTargetState(t, targetEject, reason)
 	s.emit(Retire{Target: t.name})
 }
 
-// mayEject reports whether one more target may be ejected.
-func (p *pool) mayEject() bool {
-	out := 1
+// canEject reports whether one more target may be ejected.
+func (p *pool) canEject() bool {
+	unusable := 1
 	for _, t := range p.targets {
 		if t.state() == Ejected || t.state() == Trial || t.ejector != "" {
-			out++
+			unusable++
 		}
 	}
-	return out < len(p.targets) && float64(out) <= max(1, ejectedPart*float64(len(p.targets)))
+	return unusable < len(p.targets) && float64(unusable) <= max(1, maxEjectedFraction*float64(len(p.targets)))
 }
 
-// review looks at one target's overdue tasks and trial time.
-func (s *Scheduler) review(t *target) {
-	s.settle(t)
-	if t.state() == Ejected && !s.now.Before(t.retryAt) {
-		s.retry(t)
+// reviewTarget updates one target by time: it ends or starts Departing, starts a
+// trial that is due and ejects the target if its tasks take too long.
+func (s *Scheduler) reviewTarget(t *target) {
+	s.updateLeaving(t)
+	if t.state() == Ejected && !s.now.Before(t.trialAt) {
+		s.startTrial(t)
 	}
-	t.flying = 0
-	for _, f := range t.flights {
-		t.flying += max(0, float64(t.pool.estimates.Surprise(f.kind, s.now.Sub(f.sent)))-usualSurprise)
+	t.inFlightSuspicion = 0
+	for _, f := range t.runs {
+		t.inFlightSuspicion += max(0, float64(t.pool.estimates.Surprise(f.kind, s.now.Sub(f.sentAt)))-surpriseAllowance)
 	}
-	own := t.doubt + t.flying
-	if own >= doubtStep && own+t.doubted >= slowDoubt+usualDoubt*t.pool.doubt() {
-		s.eject(t, "slow", firstTrial)
+	ownSuspicion := t.suspicion + t.inFlightSuspicion
+	if ownSuspicion >= suspicionStep && ownSuspicion+t.peerSuspicion >= ejectSuspicion+meanSuspicionFactor*t.pool.meanSuspicion() {
+		s.ejectTarget(t, "slow", minTrialInterval)
 	}
 }
 
-// doubt returns the mean doubt about the pool's live targets. When all are
-// doubted, the expected run times are wrong and not the targets.
-func (p *pool) doubt() float64 {
+// meanSuspicion returns the mean suspicion of the pool's live targets. If all
+// targets are suspicious, the expected run times are wrong and not the targets.
+func (p *pool) meanSuspicion() float64 {
 	sum, n := 0.0, 0.0
 	for _, t := range p.targets {
-		if t.counted() {
-			sum += t.doubt + t.flying + t.doubted
+		if t.isShared() {
+			sum += t.suspicion + t.inFlightSuspicion + t.peerSuspicion
 			n++
 		}
 	}
 	return sum / max(n, 1)
 }
 
-// retry starts a trial. Of all hosts that eject a target only the one with the
-// least name tries it; the others follow that host's verdict.
-func (s *Scheduler) retry(t *target) {
+// startTrial starts a trial. Of all hosts that eject a target, only the first by
+// name runs trials; the others follow its result.
+func (s *Scheduler) startTrial(t *target) {
 	if t.ejector != "" && t.ejector < s.Host {
-		t.retryAt = s.now.Add(t.interval)
+		t.trialAt = s.now.Add(t.trialInterval)
 		return
 	}
-	s.shift(t, targetTry, "trial is due")
+	s.changeTargetState(t, targetStartTrial, "trial is due")
 }
 
-// land takes a finished task out of the target's flights.
-func (t *target) land(j *job, index int) {
-	for i, f := range t.flights {
+// removeRun removes the run of a task that has ended.
+func (t *target) removeRun(j *job, index int) {
+	for i, f := range t.runs {
 		if f.job == j && f.index == index {
-			last := len(t.flights) - 1
-			t.flights[i] = t.flights[last]
-			t.flights[last] = nil
-			t.flights = t.flights[:last]
+			last := len(t.runs) - 1
+			t.runs[i] = t.runs[last]
+			t.runs[last] = nil
+			t.runs = t.runs[:last]
 			return
 		}
 	}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -6,38 +6,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// urgentGap is the least time between two reports.
-const urgentGap = 20 * time.Millisecond
+// minReportInterval is the shortest time between two scheduled reports.
+const minReportInterval = 20 * time.Millisecond
 
-// tick does all that is due by time.
-func (s *Scheduler) tick() {
-	s.expire()
-	s.forget()
+// handleTick does everything that depends on time: deadlines, expiry of answers,
+// tickets and peers, trials of targets and reports.
+func (s *Scheduler) handleTick() {
+	s.expireJobs()
+	s.dropOldAnswers()
 	s.ledger.Expire(s.now)
-	s.listen()
-	if s.Phase() == Suspended && s.now.Sub(s.suspended) >= resumeAfter {
-		s.resume("no fresh state came in time")
+	s.checkPeers()
+	if s.Phase() == Suspended && s.now.Sub(s.suspendedAt) >= resumeTimeout {
+		s.resumeServing("no fresh state came in time")
 	}
 	if s.config == nil {
 		return
 	}
-	for _, name := range s.services {
+	for _, name := range s.serviceNames {
 		p := s.pools[name]
 		for _, t := range p.targets {
-			s.review(t)
+			s.reviewTarget(t)
 		}
-		if p.outdated {
-			s.share(p)
+		if p.divisionOutdated {
+			s.divideSlots(p)
 		}
 		s.dispatch(p)
-		s.tidy(p)
+		s.dropUndeclaredFlows(p)
 	}
-	s.publishDue()
-	s.rest()
+	s.publishIfDue()
+	s.haltIfDrained()
 }
 
-// tidy drops the flows of clients that are no longer declared.
-func (s *Scheduler) tidy(p *pool) {
+// dropUndeclaredFlows removes the idle flows of clients that are no longer declared.
+func (s *Scheduler) dropUndeclaredFlows(p *pool) {
 	for name, f := range p.flows {
 		if _, declared := s.clients[name]; !declared && f.running+f.waiting == 0 {
 			delete(p.flows, name)
@@ -45,49 +46,49 @@
 	}
 }
 
-// publishDue publishes a report when its period is over, or sooner when the
-// last one misleads the peers.
-func (s *Scheduler) publishDue() {
+// publishIfDue publishes a report when the report interval is over. The interval is
+// shorter while the last report misleads the peers or a report is urgent.
+func (s *Scheduler) publishIfDue() {
 	period := s.Bounds.Calm
 	for _, p := range s.pools {
-		if s.misleads(p) {
+		if s.isReportMisleading(p) {
 			period = s.Bounds.Hurry
 		}
 	}
-	if s.urgent {
-		period = urgentGap
+	if s.reportUrgent {
+		period = minReportInterval
 	}
-	if s.now.Sub(s.published) >= period {
+	if s.now.Sub(s.publishedAt) >= period {
 		s.publish()
 	}
 }
 
-// misleads reports whether the last report gives the peers a wrong picture that
-// costs time: this host wants more slots than it asked for, or it holds slots
-// that it does not use while a peer has work waiting.
-func (s *Scheduler) misleads(p *pool) bool {
-	if p.wanted && p.quota-p.running >= releaseSlots && s.asked(p)-s.wants(p) >= releaseSlots {
+// isReportMisleading reports whether the last report is outdated in a way that
+// delays tasks: this host needs more slots than it reported, or it holds slots
+// that it does not use while a peer has waiting tasks.
+func (s *Scheduler) isReportMisleading(p *pool) bool {
+	if p.peersWaiting && p.quota-p.running >= minReleasedSlots && s.reportedDemand(p)-s.currentDemand(p) >= minReleasedSlots {
 		return true
 	}
-	return p.blocked && s.wants(p) > s.asked(p)*askGrowth
+	return p.quotaExhausted && s.currentDemand(p) > s.reportedDemand(p)*minDemandGrowth
 }
 
 const (
-	// releaseSlots is the number of unused slots that a host gives back to
-	// backlogged peers without waiting for its period.
-	releaseSlots = 5
-	// askGrowth is the growth of demand that a host tells without waiting for
-	// its period.
-	askGrowth = 1.25
+	// minReleasedSlots is the number of unused slots from which a host releases
+	// them to peers with a backlog before its regular report.
+	minReleasedSlots = 5
+	// minDemandGrowth is the factor of growth in demand above which a host reports
+	// it before its regular report.
+	minDemandGrowth = 1.25
 )
 
-// wants returns the tasks that the host's clients have now.
-func (s *Scheduler) wants(p *pool) float64 { return float64(p.running + p.waiting) }
+// currentDemand returns the number of running and waiting tasks at this host.
+func (s *Scheduler) currentDemand(p *pool) float64 { return float64(p.running + p.waiting) }
 
-// asked returns the tasks that the last report told.
-func (s *Scheduler) asked(p *pool) float64 {
+// reportedDemand returns the number of tasks in the last published report.
+func (s *Scheduler) reportedDemand(p *pool) float64 {
 	n := 0
-	for _, d := range s.sent.Demands {
+	for _, d := range s.lastReport.Demands {
 		if d.Service == p.service.Name {
 			n += d.Running + d.Waiting
 		}
@@ -95,17 +96,18 @@
 	return float64(n)
 }
 
-// publish hands the current report to the peers.
+// publish emits the current report for the peers.
 func (s *Scheduler) publish() {
-	s.published = s.now
-	s.urgent = false
-	s.sent = s.report()
+	s.publishedAt = s.now
+	s.reportUrgent = false
+	s.lastReport = s.buildReport()
 	for _, p := range s.pools {
-		p.outdated = true
+		p.divisionOutdated = true
 	}
-	s.emit(Publish{Report: s.sent})
+	s.emit(Publish{Report: s.lastReport})
 }
 
-// offset returns where a host begins to look at targets, so that hosts that see
-// the same do not all choose the same.
-func offset(host string) int { return int(xxhash.Sum64String(host) % 1024) }
+// targetOffset returns the index of the target that a host considers first. It
+// differs between hosts, so that hosts with the same state do not all choose the
+// same target.
+func targetOffset(host string) int { return int(xxhash.Sum64String(host) % 1024) }
