--- a/internal/ticketer/ranges.go
+++ b/internal/ticketer/ranges.go
@@ -5,67 +5,67 @@
 // span is a range of numbers, both ends included.
 type span struct{ low, high uint64 }
 
-// ranges is a set of numbers kept as sorted, disjoint, non-adjacent spans.
-type ranges struct{ list []span }
+// spanSet is a set of numbers, stored as sorted, disjoint, non-adjacent spans.
+type spanSet struct{ spans []span }
 
-// find returns the index of the first span whose high end is at least number.
-func (r *ranges) find(number uint64) int {
-	return sort.Search(len(r.list), func(i int) bool { return r.list[i].high >= number })
+// find returns the index of the first span that ends at or after number.
+func (r *spanSet) find(number uint64) int {
+	return sort.Search(len(r.spans), func(i int) bool { return r.spans[i].high >= number })
 }
 
-func (r *ranges) has(number uint64) bool {
+func (r *spanSet) has(number uint64) bool {
 	i := r.find(number)
-	return i < len(r.list) && r.list[i].low <= number
+	return i < len(r.spans) && r.spans[i].low <= number
 }
 
-func (r *ranges) add(number uint64) {
+func (r *spanSet) add(number uint64) {
 	i := r.find(number)
-	if i < len(r.list) && r.list[i].low <= number {
+	if i < len(r.spans) && r.spans[i].low <= number {
 		return
 	}
-	left := i > 0 && r.list[i-1].high+1 == number
-	right := i < len(r.list) && number+1 == r.list[i].low
+	left := i > 0 && r.spans[i-1].high+1 == number
+	right := i < len(r.spans) && number+1 == r.spans[i].low
 	switch {
 	case left && right:
-		r.list[i-1].high = r.list[i].high
-		r.list = append(r.list[:i], r.list[i+1:]...)
+		r.spans[i-1].high = r.spans[i].high
+		r.spans = append(r.spans[:i], r.spans[i+1:]...)
 	case left:
-		r.list[i-1].high = number
+		r.spans[i-1].high = number
 	case right:
-		r.list[i].low = number
+		r.spans[i].low = number
 	default:
-		r.list = append(r.list, span{})
-		copy(r.list[i+1:], r.list[i:])
-		r.list[i] = span{low: number, high: number}
+		r.spans = append(r.spans, span{})
+		copy(r.spans[i+1:], r.spans[i:])
+		r.spans[i] = span{low: number, high: number}
 	}
 }
 
-// trim drops all numbers below floor.
-func (r *ranges) trim(floor uint64) {
+// removeBelow removes all numbers below floor.
+func (r *spanSet) removeBelow(floor uint64) {
 	i := r.find(floor)
-	r.list = r.list[i:]
-	if len(r.list) > 0 && r.list[0].low < floor {
-		r.list[0].low = floor
+	r.spans = r.spans[i:]
+	if len(r.spans) > 0 && r.spans[0].low < floor {
+		r.spans[0].low = floor
 	}
 }
 
-func (r *ranges) remove(number uint64) {
+func (r *spanSet) remove(number uint64) {
 	i := r.find(number)
-	if i >= len(r.list) || r.list[i].low > number {
+	if i >= len(r.spans) || r.spans[i].low > number {
 		return
 	}
-	x := r.list[i]
+	x := r.spans[i]
 	switch {
 	case x.low == x.high:
-		r.list = append(r.list[:i], r.list[i+1:]...)
+		r.spans = append(r.spans[:i], r.spans[i+1:]...)
 	case number == x.low:
-		r.list[i].low++
+		r.spans[i].low++
 	case number == x.high:
-		r.list[i].high--
+		r.spans[i].high--
 	default:
-		r.list = append(r.list, span{})
-		copy(r.list[i+1:], r.list[i:])
-		r.list[i].high = number - 1
-		r.list[i+1].low = number + 1
+		r.spans = append(r.spans, span{})
+		copy(r.spans[i+1:], r.spans[i:])
+		r.spans[i].high = number - 1
+		r.spans[i+1].low = number + 1
 	}
 }
--- a/internal/ticketer/ticket.go
+++ b/internal/ticketer/ticket.go
@@ -1,5 +1,5 @@
-// Package ticketer makes, seals and checks the tickets that make resubmission
-// safe, and remembers which of them have been used.
+// Package ticketer issues, signs and verifies the tickets that make resubmission
+// safe, and records which tickets have been used.
 package ticketer
 
 import (
@@ -14,58 +14,59 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// macSize is the length of the truncated MAC in bytes.
-const macSize = 16
+// macBytes is the length of the truncated MAC.
+const macBytes = 16
 
-// maxText bounds the text of a ticket in bytes.
-const maxText = 512
+// maxTextBytes limits the length of a ticket's text.
+const maxTextBytes = 512
 
-// Ticket is the right to start one job once at its home.
+// Ticket is the right to start one job once at its home, the entry host that issued
+// the ticket.
 type Ticket struct {
-	// Home is the address of the entry host that gave the ticket.
+	// Home is the address of the entry host that issued the ticket.
 	Home string `cbor:"1,keyasint"`
-	// Incarnation is the start of the home process in Unix nanoseconds.
+	// Incarnation is the start time of the home process in Unix nanoseconds.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Number counts the tickets of one incarnation from 1.
 	Number uint64 `cbor:"3,keyasint"`
-	// Client is the name of the client that the ticket was given to.
+	// Client is the name of the client to which the ticket was issued.
 	Client string `cbor:"4,keyasint"`
 }
 
-// Short returns a text that names the ticket in log lines, without its MAC.
+// Short returns a text that identifies the ticket in logs, without its MAC.
 func (t Ticket) Short() string {
 	return fmt.Sprintf("%s/%x/%d", t.Home, t.Incarnation, t.Number)
 }
 
-// Sealer signs and checks tickets with a key that all entry hosts share. It is
+// Sealer signs and verifies tickets with a key that all entry hosts share. It is
 // safe for concurrent use once Key is set.
 type Sealer struct {
-	// Key is the shared secret.
+	// Key is the shared secret key of the MAC.
 	Key []byte
 }
 
-// Seal returns the ticket's text with its MAC.
+// Seal returns the text of the ticket, which includes its MAC.
 func (s *Sealer) Seal(t Ticket) (string, error) {
 	body, err := cbor.Marshal(t)
 	if err != nil {
 		return "", err
 	}
-	return base64.RawURLEncoding.EncodeToString(append(body, s.mac(body)...)), nil
+	return base64.RawURLEncoding.EncodeToString(append(body, s.computeMAC(body)...)), nil
 }
 
-// Open checks a text and returns its ticket. Any text that Seal did not make
-// with the same key gives an Error with reason Malformed.
+// Open verifies a text and returns its ticket. For a text that Seal did not return
+// with the same key, the error is a *shallotrouter.Error with the reason Malformed.
 func (s *Sealer) Open(text string) (Ticket, error) {
 	var t Ticket
-	if len(text) > maxText {
-		return t, shallotrouter.Errorf(shallotrouter.Malformed, "ticket is longer than %d bytes; take a new one", maxText)
+	if len(text) > maxTextBytes {
+		return t, shallotrouter.Errorf(shallotrouter.Malformed, "ticket is longer than %d bytes; take a new one", maxTextBytes)
 	}
 	data, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(data) <= macSize {
+	if err != nil || len(data) <= macBytes {
 		return t, shallotrouter.Errorf(shallotrouter.Malformed, "ticket is not readable; submit it as it was given, or take a new one")
 	}
-	body, mac := data[:len(data)-macSize], data[len(data)-macSize:]
-	if !hmac.Equal(mac, s.mac(body)) {
+	body, mac := data[:len(data)-macBytes], data[len(data)-macBytes:]
+	if !hmac.Equal(mac, s.computeMAC(body)) {
 		return t, shallotrouter.Errorf(shallotrouter.Malformed, "ticket has a wrong seal; take a new one from this deployment")
 	}
 	if err := cbor.Unmarshal(body, &t); err != nil {
@@ -74,99 +75,101 @@
 	return t, nil
 }
 
-func (s *Sealer) mac(body []byte) []byte {
+func (s *Sealer) computeMAC(body []byte) []byte {
 	h := hmac.New(sha256.New, s.Key)
 	h.Write(body)
-	return h.Sum(nil)[:macSize]
+	return h.Sum(nil)[:macBytes]
 }
 
-// Use is what the ledger knows of a ticket number.
+// Use is the state of a ticket number in a Ledger.
 type Use string
 
 const (
-	// Fresh is a number that was given and not used.
+	// Fresh is an issued number that is unused and has not expired.
 	Fresh Use = "fresh"
 	// Used is a number that was used.
 	Used Use = "used"
-	// Stale is an unused number past its expiry.
+	// Stale is an unused number that has expired.
 	Stale Use = "stale"
-	// Gone is a number whose use is no longer remembered.
+	// Gone is a number whose use the ledger no longer records.
 	Gone Use = "gone"
-	// Foreign is a number that this ledger never gave.
+	// Foreign is a number that the ledger has not issued.
 	Foreign Use = "foreign"
 )
 
-// mark notes that all numbers below next were given before time.
-type mark struct {
-	time time.Time
-	next uint64
+// issueMark records that all numbers below next were issued before the end of the
+// interval that begins at intervalStart.
+type issueMark struct {
+	intervalStart time.Time
+	next          uint64
 }
 
-// Ledger gives ticket numbers and remembers their use as ranges. Expired
-// numbers are remembered for as long again, then dropped. It is not safe for
-// concurrent use.
+// Ledger issues ticket numbers and records the used ones as ranges. It keeps an
+// expired number for another Life and then forgets it. It is not safe for concurrent
+// use.
 type Ledger struct {
-	// Life is how long an unused ticket stays good.
+	// Life is how long an unused ticket is valid.
 	Life time.Duration
 
-	next  uint64
-	stale uint64 // numbers below are past their expiry
-	floor uint64 // numbers below are forgotten
-	marks []mark
-	used  ranges
+	next           uint64
+	expiredBelow   uint64 // numbers below have expired
+	forgottenBelow uint64 // numbers below are forgotten
+	marks          []issueMark
+	used           spanSet
 }
 
-// Give hands out count numbers and returns the first.
+// Give issues count consecutive numbers and returns the first.
 func (l *Ledger) Give(now time.Time, count int) uint64 {
 	l.Expire(now)
 	if l.next == 0 {
-		l.next, l.stale, l.floor = 1, 1, 1
+		l.next, l.expiredBelow, l.forgottenBelow = 1, 1, 1
 	}
 	first := l.next
 	l.next += uint64(count)
-	slot := now.Truncate(l.Life / markSlots)
-	if n := len(l.marks); n > 0 && l.marks[n-1].time.Equal(slot) {
+	intervalStart := now.Truncate(l.Life / marksPerLife)
+	if n := len(l.marks); n > 0 && l.marks[n-1].intervalStart.Equal(intervalStart) {
 		l.marks[n-1].next = l.next
 	} else {
-		l.marks = append(l.marks, mark{time: slot, next: l.next})
+		l.marks = append(l.marks, issueMark{intervalStart: intervalStart, next: l.next})
 	}
 	return first
 }
 
-// markSlots is how many marks a ticket's life is cut into.
-const markSlots = 64
+// marksPerLife is the number of intervals into which Life is divided; the numbers
+// issued in one interval expire together.
+const marksPerLife = 64
 
-// Expire moves the expiry and the memory floor up to now.
+// Expire updates which numbers have expired and which are forgotten at the time now.
 func (l *Ledger) Expire(now time.Time) {
-	slot := l.Life / markSlots
+	interval := l.Life / marksPerLife
 	for len(l.marks) > 0 {
-		age := now.Sub(l.marks[0].time)
-		if age <= 2*(l.Life+slot) {
+		age := now.Sub(l.marks[0].intervalStart)
+		if age <= 2*(l.Life+interval) {
 			break
 		}
-		l.floor = l.marks[0].next
+		l.forgottenBelow = l.marks[0].next
 		l.marks = l.marks[1:]
 	}
 	for _, m := range l.marks {
-		if now.Sub(m.time) <= l.Life+slot {
+		if now.Sub(m.intervalStart) <= l.Life+interval {
 			break
 		}
-		l.stale = m.next
+		l.expiredBelow = m.next
 	}
-	l.stale = max(l.stale, l.floor)
-	l.used.trim(l.floor)
+	l.expiredBelow = max(l.expiredBelow, l.forgottenBelow)
+	l.used.removeBelow(l.forgottenBelow)
 }
 
-// Look tells the use of a number without changing it.
+// Look returns the use of a number without changing it.
 func (l *Ledger) Look(number uint64) Use {
 	switch {
 	case number == 0 || number >= l.next:
 		return Foreign
-	case number < l.floor:
+	case number < l.forgottenBelow:
 		return Gone
 	case l.used.has(number):
 		return Used
-	case number < l.stale:
+	case number < l.expiredBelow:
 		return Stale
 	}
 	return Fresh
@@ -181,8 +184,8 @@
 	return true
 }
 
-// Return makes a number that Take just marked fresh again.
+// Return marks a number as unused again. It must have just been marked by Take.
 func (l *Ledger) Return(number uint64) { l.used.remove(number) }
 
-// Ranges returns how many ranges the memory of used numbers takes.
-func (l *Ledger) Ranges() int { return len(l.used.list) }
+// Ranges returns the number of ranges in which the used numbers are stored.
+func (l *Ledger) Ranges() int { return len(l.used.spans) }
--- a/internal/ticketer/ticket_test.go
+++ b/internal/ticketer/ticket_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func TestSeal(t *testing.T) {
+func TestOpenAcceptsOnlySealedTickets(t *testing.T) {
 	s := &Sealer{Key: []byte("a key of the test")}
 	ticket := Ticket{Home: "127.0.0.1:7100", Incarnation: 5, Number: 7, Client: "comites"}
 	text, err := s.Seal(ticket)
@@ -25,84 +25,85 @@
 		changed := []byte(text)
 		changed[i] ^= 1
 		opened, err := s.Open(string(changed))
-		assert.True(t, err != nil || opened == ticket, "a changed ticket is refused")
+		assert.True(t, err != nil || opened == ticket, "a modified ticket is rejected")
 	}
 }
 
-// model is a map of every number beside a ledger.
+// model is a ledger with the expected state of every number.
 type model struct {
-	ledger  *Ledger
-	now     time.Time
-	given   map[uint64]time.Time
-	used    map[uint64]bool
-	highest uint64
+	ledger   *Ledger
+	now      time.Time
+	issuedAt map[uint64]time.Time
+	used     map[uint64]bool
+	highest  uint64
 }
 
-func (m *model) give(t *rapid.T) {
+func (m *model) issue(t *rapid.T) {
 	n := rapid.IntRange(1, 20).Draw(t, "count")
 	first := m.ledger.Give(m.now, n)
 	if first != m.highest+1 {
-		t.Fatalf("first is %d after %d", first, m.highest)
+		t.Fatalf("first number is %d after %d", first, m.highest)
 	}
 	for i := range uint64(n) {
-		m.given[first+i] = m.now
+		m.issuedAt[first+i] = m.now
 	}
 	m.highest += uint64(n)
 }
 
-func (m *model) take(t *rapid.T) {
+func (m *model) consume(t *rapid.T) {
 	n := rapid.Uint64Range(1, m.highest+2).Draw(t, "number")
-	took, given := m.ledger.Take(n), m.given[n]
-	if took && (m.used[n] || given.IsZero()) {
-		t.Fatalf("%d is taken twice or was never given", n)
+	consumed, issuedAt := m.ledger.Take(n), m.issuedAt[n]
+	if consumed && (m.used[n] || issuedAt.IsZero()) {
+		t.Fatalf("number %d was used twice or was never issued", n)
 	}
-	if !took && !m.used[n] && !given.IsZero() && m.now.Sub(given) < m.ledger.Life {
-		t.Fatalf("%d is good and was not taken", n)
+	if !consumed && !m.used[n] && !issuedAt.IsZero() && m.now.Sub(issuedAt) < m.ledger.Life {
+		t.Fatalf("number %d is valid and could not be used", n)
 	}
-	m.used[n] = m.used[n] || took
+	m.used[n] = m.used[n] || consumed
 }
 
-func (m *model) giveBack(t *rapid.T) {
+func (m *model) release(t *rapid.T) {
 	n := rapid.Uint64Range(1, m.highest+2).Draw(t, "number")
 	if m.ledger.Take(n) {
 		m.ledger.Return(n)
 	}
 }
 
-func (m *model) pass(t *rapid.T) {
+func (m *model) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 	m.ledger.Expire(m.now)
 }
 
 func (m *model) check(t *rapid.T) {
-	for n, at := range m.given {
+	for n, issuedAt := range m.issuedAt {
 		use := m.ledger.Look(n)
 		if m.used[n] && use != Used && use != Gone {
-			t.Fatalf("%d was used and is %s", n, use)
+			t.Fatalf("number %d was used and is %s", n, use)
 		}
-		if !m.used[n] && use == Fresh && m.now.Sub(at) > m.ledger.Life+m.ledger.Life/8 {
-			t.Fatalf("%d is past its life and fresh", n)
+		if !m.used[n] && use == Fresh && m.now.Sub(issuedAt) > m.ledger.Life+m.ledger.Life/8 {
+			t.Fatalf("number %d is past its lifetime and still fresh", n)
 		}
 	}
 }
 
-// TestLedger compares the ledger with the model.
-func TestLedger(t *testing.T) {
+// TestLedgerMatchesModel requires that the ledger agrees with a model of every number.
+func TestLedgerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{ledger: &Ledger{Life: time.Minute}, now: start, given: make(map[uint64]time.Time), used: make(map[uint64]bool)}
-		t.Repeat(map[string]func(*rapid.T){"give": m.give, "take": m.take, "return": m.giveBack, "pass": m.pass, "": m.check})
+		m := &model{ledger: &Ledger{Life: time.Minute}, now: startTime, issuedAt: make(map[uint64]time.Time), used: make(map[uint64]bool)}
+		t.Repeat(map[string]func(*rapid.T){"give": m.issue, "take": m.consume, "return": m.release, "pass": m.advance, "": m.check})
 	})
 }
 
-// TestLedgerMemory requires that tickets used in order take one range.
-func TestLedgerMemory(t *testing.T) {
+// TestTicketsUsedInOrderTakeOneRange requires that tickets used in order are stored as
+// one range.
+func TestTicketsUsedInOrderTakeOneRange(t *testing.T) {
 	l := &Ledger{Life: time.Minute}
-	first := l.Give(start, 1000)
+	first := l.Give(startTime, 1000)
 	for n := first; n < first+1000; n++ {
 		require.True(t, l.Take(n))
 	}
 	assert.Equal(t, 1, l.Ranges())
-	l.Expire(start.Add(3 * time.Minute))
+	l.Expire(startTime.Add(3 * time.Minute))
 	assert.Zero(t, l.Ranges())
 	assert.Equal(t, Gone, l.Look(first))
 }
@@ -117,7 +118,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		ticket, err := s.Open(text)
 		if err == nil && ticket != (Ticket{Home: "h", Number: 1, Client: "c"}) {
-			t.Fatalf("a forged ticket was opened: %+v", ticket)
+			t.Fatalf("a forged ticket was accepted: %+v", ticket)
 		}
 	})
 }
