--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -74,8 +74,8 @@
 }
 
 const (
-	// minReleasedSlots is the number of unused slots from which a host releases
-	// them to peers with a backlog before its regular report.
+	// minReleasedSlots is the number of unused slots at which a host reports its
+	// lower demand to peers with a backlog before its regular report.
 	minReleasedSlots = 5
 	// minDemandGrowth is the factor of growth in demand above which a host reports
 	// it before its regular report.
