--- a/internal/router/bounds.go
+++ b/internal/router/bounds.go
@@ -2,93 +2,102 @@
 
 import "time"
 
-// Bounds are the limits of a router. Standard returns the usual ones.
+// Bounds are the timeouts, intervals and limits of a router. Standard returns the
+// default values.
 type Bounds struct {
-	// TickInterval is the longest time between two steps. It bounds how late a timeout
-	// is noticed; a fifth of a heartbeat.
+	// TickInterval is the longest time between two steps, a quarter of
+	// HeartbeatInterval. It bounds how late an expired timeout is noticed.
 	TickInterval time.Duration
-	// HeartbeatInterval is the period of heartbeats: four fit into PeerTimeout.
+	// HeartbeatInterval is the interval of heartbeats to monitored peers. Four
+	// heartbeats fit into PeerTimeout.
 	HeartbeatInterval time.Duration
-	// BackgroundInterval is the period at which one of the peers that are not near is sent a
-	// heartbeat, one after the other: it bounds what a host spends on peers that it
-	// does not depend on, however many there are.
+	// BackgroundInterval is the interval at which a heartbeat is sent to one of the
+	// background peers, in turn. It bounds the cost of peers that a host does not
+	// depend on, whatever their number.
 	BackgroundInterval time.Duration
-	// FullMeshHosts is the number of hosts up to which all are near to each other.
+	// FullMeshHosts is the number of hosts up to which every host of the cells monitors
+	// every other.
 	FullMeshHosts int
-	// PeerTimeout is how long a near peer may be unheard. It covers a pause of a host
-	// with a small processor share (100 ms) and a lost packet (200 ms).
+	// PeerTimeout is the age of the last echo at which a monitored peer counts as
+	// unreachable. It covers a scheduling pause of a host with a small processor share
+	// (100 ms) and the retransmission of a lost packet (200 ms).
 	PeerTimeout time.Duration
-	// OriginTimeout is how long a holder runs the jobs of a silent host. With a stop
-	// it must end before the client sends the job again (1.3 s on the users'
-	// platform).
+	// OriginTimeout is how long a holder continues the jobs of an unresponsive host.
+	// Together with StopDuration it must end before the client retries the job (after
+	// 1.3 s on the platform).
 	OriginTimeout time.Duration
-	// StartupDelay is how long a starting host listens for holders before it claims
-	// a cell: the time of a connection and two heartbeats.
+	// StartupDelay is how long a starting host waits for messages of existing holders
+	// before it claims a cell. It covers setting up a connection and two heartbeats.
 	StartupDelay time.Duration
-	// ClaimStagger is what each further successor waits for the one before it.
+	// ClaimStagger is the additional delay of each further successor before it claims a
+	// cell.
 	ClaimStagger time.Duration
-	// MergeDelay is how long two holders must be in touch before one takes the
-	// other's cells: four heartbeats. After a cut, hosts of the smaller side have
-	// only its targets until then.
+	// MergeDelay is how long two holders must be reachable to each other before one
+	// claims the other's cells: four heartbeats. Until then, the hosts on the smaller
+	// side of a partition that has ended can only use the targets of their own holder.
 	MergeDelay time.Duration
-	// ClaimBackoff is the first wait after a claim that was beaten or fenced; it
-	// doubles up to sixteen times.
+	// ClaimBackoff is the first delay after a claim that met a conflict or was fenced
+	// off. It doubles with each further one, up to sixteen times its first value.
 	ClaimBackoff time.Duration
-	// MemberExpiry is when an unheard peer no longer counts as a member.
+	// MemberExpiry is how long after its last heartbeat a peer is removed.
 	MemberExpiry time.Duration
-	// LeaseDuration is how long a target runs on after the last order. The platform
-	// bounds it.
+	// LeaseDuration is how long the runs of a target continue after the last order. The
+	// platform bounds it.
 	LeaseDuration time.Duration
-	// MaxClockDrift is the greatest relative error of a target's clock. The platform
+	// MaxClockDrift is the largest relative error of a target's clock. The platform
 	// states it.
 	MaxClockDrift float64
-	// RenewWait is how long a renewal waits for an end: half a lease less an answer.
+	// RenewWait is how long the answer to a renewal may wait for a run to end: half of
+	// LeaseDuration, less the time of an answer.
 	RenewWait time.Duration
-	// IdleRenewInterval is the period of renewals of a target that runs nothing.
+	// IdleRenewInterval is the interval of renewals of a target without runs.
 	IdleRenewInterval time.Duration
-	// RenewTimeout bounds a renewal beyond its wait: twice a round trip between zones
-	// and the share of a tenth of a second that a target may be paused.
+	// RenewTimeout bounds a renewal in addition to its wait: two round trips between
+	// zones and the part of 100 ms for which a target may be paused.
 	RenewTimeout time.Duration
-	// OrderTimeout bounds a Start or a Stop: half of RenewTimeout, so that a job with short
-	// tasks can still be in time after a second try.
+	// OrderTimeout bounds a Start or a Stop. It is half of RenewTimeout, so that a job
+	// with short tasks can still finish in time after a second attempt.
 	OrderTimeout time.Duration
 	// StopDuration is how long a target takes to stop a run. The platform states it.
 	StopDuration time.Duration
-	// OrphanGrace is how long a new holder keeps runs whose job it was not told of:
-	// a heartbeat and the offers that it brings about, at hosts with a small
-	// processor share.
+	// OrphanGrace is how long a new holder lets orphans run, whose jobs may not have
+	// been offered to it yet. It covers a heartbeat and the offers that follow it, at
+	// hosts with a small processor share.
 	OrphanGrace time.Duration
-	// QuarantineDuration is how long a job that another holder had is kept from
-	// starting anew, unless all targets obey this host before: OriginTimeout, a stop
+	// QuarantineDuration is how long a job of a previous holder is kept from starting
+	// again, unless all targets obey this host earlier. It covers OriginTimeout, a stop
 	// and a lease.
 	QuarantineDuration time.Duration
-	// VerdictRetention is how long verdicts are remembered for repeated submissions.
+	// VerdictRetention is how long verdicts are retained to answer repeated
+	// submissions.
 	VerdictRetention time.Duration
-	// DirectoryInterval is the period of reads of the list of targets: two fit into
-	// the time that a leaving target may still be used (2 s).
+	// DirectoryInterval is the interval of reads of the directory. Two reads fit into
+	// the 2 s for which a leaving target may still be used.
 	DirectoryInterval time.Duration
-	// UnlistedGrace is how long a target that the list no longer shows may be used
-	// after the store was away.
+	// UnlistedGrace is how long after a store outage a target that is no longer listed
+	// may be used.
 	UnlistedGrace time.Duration
 	// ShutdownTimeout bounds a graceful shutdown. The platform states it.
 	ShutdownTimeout time.Duration
-	// ShutdownLinger is how long a stopping host takes requests: the balancer looks
-	// once a second and needs two misses.
+	// ShutdownLinger is how long a host that shuts down still accepts requests. The
+	// load balancer checks hosts once a second and needs two failed checks.
 	ShutdownLinger time.Duration
-	// MaxOrders bounds the orders to targets under way, but for renewals that wait. When
-	// there are many at once, as after a takeover, a small processor share gets to the
-	// answers and heartbeats between them: an order takes 0.24 ms of a core (bench,
-	// docs/CAPACITY.md), so that they delay an answer by 15 ms at 0.4 cores.
+	// MaxOrders bounds the orders to targets that are under way, except renewals that
+	// wait. After a takeover many orders are due at once; the bound lets a host with a
+	// small processor share handle answers and heartbeats between them. An order takes
+	// 0.24 ms of a core (docs/CAPACITY.md), so 24 orders delay an answer by 15 ms at
+	// 0.4 cores.
 	MaxOrders int
-	// OrderWindow is how long an order counts as under way: half of OrderTimeout, so that those to
-	// silent targets hold up others for less.
+	// OrderWindow is how long an order counts as under way. It is half of OrderTimeout,
+	// so that orders to unresponsive targets delay other orders for less time.
 	OrderWindow time.Duration
-	// MaxSharedTargets is the number of targets up to which one host holds all cells: three
-	// times the 48 of a deployment that takes an eighth of a core.
+	// MaxSharedTargets is the number of targets up to which one host holds all cells.
+	// It is about three times the 48 targets of a deployment, which take an eighth of a
+	// core.
 	MaxSharedTargets int
 }
 
-// Standard returns the usual bounds.
+// Standard returns the default bounds.
 func Standard() Bounds {
 	return Bounds{
 		TickInterval:       20 * time.Millisecond,
--- a/internal/router/cell.go
+++ b/internal/router/cell.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// cell is the targets of one availability zone, under one holder.
+// cell is the state of the targets of one availability zone, which have one holder.
 type cell struct {
 	zone       string
 	claim      Claim
@@ -10,30 +10,31 @@
 	heldHere   bool
 	// acquiredAt is when this host became the holder.
 	acquiredAt       time.Time
-	holderlessSince  time.Time // since when no live holder is known
-	noClaimUntil     time.Time // no claim before
+	holderlessSince  time.Time // since when no holder is reachable, or the holder is leaving; zero otherwise
+	noClaimUntil     time.Time // this host does not claim the cell before
 	claimBackoff     time.Duration
-	mergeWantedSince time.Time // since when the holder should be another
-	fenced           bool      // targets obey a token that is not known here
-	claimReceivedAt  time.Time // when the claim in force was heard of
-	// unwritten tells that the store has not taken the claim yet; published is
-	// when it was last told.
+	mergeWantedSince time.Time // since when this host should hold the cell instead of the reachable holder
+	fenced           bool      // targets obey a higher token, whose claim is not known here
+	claimReceivedAt  time.Time // when the current claim was received
+	// unwritten is true while this host's claim is not in the store yet; lastWriteAt is
+	// when the last attempt to write it was made.
 	unwritten   bool
 	lastWriteAt time.Time
 }
 
 const (
-	// slotBits and lifeBits are the parts of a token below the generation: the
-	// member's slot, and its lives, so that no two processes share a token.
+	// slotBits and slotUseBits are the widths of the lower parts of a token: the
+	// member's slot and the count of the slot's uses. Together they keep the tokens of
+	// any two processes different.
 	slotBits    = 16
 	slotUseBits = 10
-	// lostJobsDropDelay is the time from the loss of a cell to the end of its jobs: two
-	// heartbeats.
+	// lostJobsDropDelay is the time from the loss of a cell to the dropping of its
+	// jobs. It covers two heartbeats.
 	lostJobsDropDelay = 200 * time.Millisecond
 )
 
-// tokenFor returns the token of this process in a generation. No two processes
-// share one.
+// tokenFor returns the fencing token of this process in a generation. No two processes
+// share a token.
 func (r *Router) tokenFor(generation uint64) uint64 {
 	processBits := uint64(r.Self.Slot)<<slotUseBits | uint64(r.slotUses)&(1<<slotUseBits-1)
 	return generation<<(slotBits+slotUseBits) | processBits
@@ -51,7 +52,8 @@
 	return c
 }
 
-// applyClaim takes a claim that was heard of. The highest token is in force.
+// applyClaim updates a cell with a received claim. The claim with the highest token is
+// the current one.
 func (r *Router) applyClaim(claim Claim) {
 	r.generation = max(r.generation, generationOf(claim.Token))
 	c := r.cell(claim.Zone)
@@ -74,17 +76,16 @@
 	}
 }
 
-// confirmClaim takes a claim of this process that it has given up for want of an answer: the
-// store has written it later, and the other hosts go by it.
+// confirmClaim acquires a cell whose claim by this process had timed out: the store
+// wrote the claim later, and the other hosts already treat this host as the holder.
 func (r *Router) confirmClaim(c *cell, token uint64) {
 	if !r.leavingSince.IsZero() || r.pendingClaim != nil && r.pendingClaim.token == token {
-		return // others take over, or the answer is under way
+		return // a successor takes over, or the store's answer is still expected
 	}
 	r.acquireCell(c, token)
 }
 
-// reachableHolder returns the member that holds a zone's cell and can be reached, or
-// nil.
+// reachableHolder returns the holder of a zone's cell if it is reachable, else nil.
 func (r *Router) reachableHolder(zone string) *Member {
 	c := r.cells[zone]
 	if c == nil || c.claim.Token == 0 {
@@ -100,7 +101,8 @@
 	return &c.claim.Holder
 }
 
-// trackMissingHolders notes since when each cell lacks a holder.
+// trackMissingHolders updates since when each cell lacks a holder that is reachable and
+// not leaving.
 func (r *Router) trackMissingHolders() {
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
@@ -115,7 +117,7 @@
 		}
 		if c.holderlessSince.IsZero() {
 			c.holderlessSince = r.now
-			r.lastHeartbeatAt = time.Time{} // more hosts have to be heard of now
+			r.lastHeartbeatAt = time.Time{} // heartbeats are due now: more hosts become hubs and must be monitored
 			if c.claim.Token > 0 {
 				r.emit(Decision{Action: "holder", Pairs: []any{"zone", zone, "holder", c.claim.Holder.Name, "state", "lost", "leaving", holder != nil}})
 			}
@@ -134,7 +136,7 @@
 // acquireCell makes this host the holder of a cell.
 func (r *Router) acquireCell(c *cell, token uint64) {
 	if _, pending := r.lostJobsDropAt[c.zone]; pending {
-		// Another host has had the jobs meanwhile; what is known here is stale.
+		// Another host has had the jobs meanwhile, so the state here is stale.
 		delete(r.lostJobsDropAt, c.zone)
 		r.dropJobsOfZone(c.zone)
 	}
@@ -147,7 +149,8 @@
 	r.offerAllRequests()
 }
 
-// releaseCell gives up a cell that another host has claimed, or that targets refuse.
+// releaseCell stops holding a cell that another host has claimed or whose targets have
+// fenced this host off.
 func (r *Router) releaseCell(c *cell) {
 	c.heldHere = false
 	r.emit(Decision{Action: "holder", Pairs: []any{"zone", c.zone, "state", "given up", "held", r.formatAge(c.acquiredAt)}})
@@ -160,9 +163,9 @@
 	r.offerAllRequests()
 }
 
-// dropLostJobs drops the jobs of cells that were lost a moment ago. The delay lets
-// the claims of all cells arrive: where the next holder has them all, it takes
-// over what runs, and nothing is stopped.
+// dropLostJobs drops the jobs of cells that were lost at least lostJobsDropDelay ago.
+// The delay lets the claims of all cells arrive: if the next holder has claimed all of
+// them, it adopts the runs and none needs to be stopped.
 func (r *Router) dropLostJobs() {
 	for _, zone := range sortedKeys(r.lostJobsDropAt) {
 		if !r.now.Before(r.lostJobsDropAt[zone]) {
@@ -172,7 +175,8 @@
 	}
 }
 
-// handleFenced takes a target's word that it obeys a higher token than this host's.
+// handleFenced handles the answer of a target that it obeys a higher token than this
+// host's: this host releases the cell.
 func (r *Router) handleFenced(t *target, token uint64) {
 	c := r.cells[t.Zone]
 	if c == nil || !c.heldHere || c.claim.Token != token {
@@ -184,7 +188,8 @@
 	r.releaseCell(c)
 }
 
-// handleRegistered takes this host's slot and what else the store has.
+// handleRegistered adopts this host's slot and the members and claims that the store
+// has.
 func (r *Router) handleRegistered(e Registered) {
 	if e.Slot > 0 && r.Self.Slot == 0 {
 		r.Self.Slot, r.slotUses = e.Slot, e.SlotUses
--- a/internal/router/check.go
+++ b/internal/router/check.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// MaxTasks bounds the tasks of a job: twenty times the 460 of the largest that the
-	// users plan.
+	// MaxTasks bounds the tasks of a job. It is about twenty times the 460 tasks of the
+	// largest job that clients plan.
 	MaxTasks = 10_000
 	// maxGeneration bounds the generations of claims, so that a token stays below 2^53
 	// and is exact in JSON.
 	maxGeneration = 1 << (53 - slotBits - slotUseBits)
 )
 
-// MalformedError tells that a message of another host cannot be used. Look for hosts that
-// run another version of the program.
+// MalformedError reports that a message from another host has an invalid value. A
+// likely cause is a host that runs another version of the program.
 type MalformedError struct{ Field, Value string }
 
 // Error implements error.
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("malformed message: %s is %s; check that all hosts run the same version", e.Field, e.Value)
+	return fmt.Sprintf("malformed message: %s is %s; check that all hosts run the same version of the program", e.Field, e.Value)
 }
 
-// Check returns a *MalformedError for a message whose values would break what the router
-// relies on.
+// Check returns a *MalformedError if m has a value that would violate an assumption of
+// the router.
 func (m Message) Check() error {
 	switch {
 	case m.Offer != nil:
@@ -39,15 +39,15 @@
 	j := &o.Job
 	switch {
 	case j.ID == "":
-		return &MalformedError{"the job's id", "empty"}
+		return &MalformedError{"the job ID", "empty"}
 	case j.Count < 1 || j.Count > MaxTasks:
-		return &MalformedError{"the number of tasks", fmt.Sprint(j.Count)}
+		return &MalformedError{"the task count", fmt.Sprint(j.Count)}
 	case j.Need.CPU < 0 || j.Need.Memory < 0 || j.Need.GPU < 0:
-		return &MalformedError{"a task's need", fmt.Sprint(j.Need)}
+		return &MalformedError{"the resource need of a task", fmt.Sprint(j.Need)}
 	case !areFinite(j.Stretch):
 		return &MalformedError{"the stretch", fmt.Sprint(j.Stretch)}
 	case o.RunBase < 0:
-		return &MalformedError{"the base of run numbers", fmt.Sprint(o.RunBase)}
+		return &MalformedError{"the run number base", fmt.Sprint(o.RunBase)}
 	}
 	return nil
 }
@@ -58,28 +58,28 @@
 	}
 	for _, c := range b.Claims {
 		if generationOf(c.Token) >= maxGeneration {
-			return &MalformedError{"a claim's token", fmt.Sprint(c.Token)}
+			return &MalformedError{"the token of a claim", fmt.Sprint(c.Token)}
 		}
 	}
 	return checkLearnedState(b.Routes, b.Speeds)
 }
 
-// checkLearnedState checks what another host has learned.
+// checkLearnedState checks learned state that was received from another host.
 func checkLearnedState(routes []RouteStats, speeds []KindSpeed) error {
 	for _, stats := range routes {
 		if stats.Count < 0 || stats.Timeouts < 0 || stats.VarTimeout < 0 || !areFinite(stats.MeanX, stats.MeanY, stats.VarX, stats.CovXY, stats.MeanTimeout, stats.VarTimeout) {
-			return &MalformedError{"what was learned of a route", fmt.Sprint(stats)}
+			return &MalformedError{"a route's statistics", fmt.Sprint(stats)}
 		}
 	}
 	for _, s := range speeds {
 		if s.Count < 0 || !areFinite(s.Log) {
-			return &MalformedError{"the speed of a kind", fmt.Sprint(s)}
+			return &MalformedError{"the speed of a target kind", fmt.Sprint(s)}
 		}
 	}
 	return nil
 }
 
-// areFinite reports whether all values are numbers.
+// areFinite reports whether no value is infinite or NaN.
 func areFinite(values ...float64) bool {
 	for _, v := range values {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pendingClaim is a claim under way.
+// pendingClaim is a claim that waits for the store's answer.
 type pendingClaim struct {
 	token     uint64
 	zones     []string
@@ -13,17 +13,20 @@
 }
 
 const (
-	// claimTimeout bounds the wait for the store, which usually answers in 12 to
-	// 16 ms, to a twentieth of the time without a holder that clients accept (1 s).
+	// claimTimeout bounds the wait for the store. The store usually answers in 12 to 16
+	// ms; clients accept 1 s without a holder, of which the timeout takes about a
+	// twentieth.
 	claimTimeout = 60 * time.Millisecond
-	// maxBackoffFactor is how often the wait between claims may double.
+	// maxBackoffFactor bounds the delay between claims, as a multiple of
+	// Bounds.ClaimBackoff.
 	maxBackoffFactor = 16
-	// claimWriteInterval is the pause between two tries to write a claim.
+	// claimWriteInterval is the delay between two attempts to write a claim that the
+	// store did not take.
 	claimWriteInterval = 500 * time.Millisecond
 )
 
-// candidates returns the members that could hold a zone's cell, best first. All
-// hosts that see the same members agree on the order.
+// candidates returns the members that can hold a zone's cell, best first. Hosts that
+// reach the same members agree on the order.
 func (r *Router) candidates(zone string) []Member {
 	var candidates []Member
 	if r.Self.Slot > 0 && r.leavingSince.IsZero() {
@@ -41,12 +44,12 @@
 	return candidates
 }
 
-// targetTrafficKbps is what a target costs its holder on the network in kilobits a second:
-// eight starts of 1 KB with their answers.
+// targetTrafficKbps is the network traffic that one target causes at its holder, in
+// kilobits a second: eight starts of 1 KB a second and their answers.
 const targetTrafficKbps = 100
 
-// updateZonesSplit decides whether each zone should have a holder of its own, because no one
-// host can carry all targets with its processor and half of its link.
+// updateZonesSplit decides whether each zone has a holder of its own. This is so if the
+// processor or half of the link of one host does not suffice for all targets.
 func (r *Router) updateZonesSplit() {
 	r.maxLinkRate = max(r.maxLinkRate, r.Self.LinkRate)
 	for _, p := range r.peers {
@@ -55,8 +58,9 @@
 	r.zonesSplit = r.totalTargets > r.Bounds.MaxSharedTargets || r.maxLinkRate > 0 && r.totalTargets > r.maxLinkRate/(2*targetTrafficKbps)
 }
 
-// updateTotalTargets takes the number of targets in some version of the platform's list.
-// Hosts that are not told the list itself have to agree on whether zones are split.
+// updateTotalTargets records the number of targets in a version of the directory. Hosts
+// that do not receive the directory itself use the number to agree on whether zones are
+// split.
 func (r *Router) updateTotalTargets(version uint64, total int) {
 	if version > r.totalTargetsVersion {
 		r.totalTargetsVersion, r.totalTargets = version, total
@@ -64,7 +68,8 @@
 	}
 }
 
-// claimCells claims the cells that lack a holder, or that should have another.
+// claimCells claims the cells that lack a holder or that this host should hold instead
+// of another.
 func (r *Router) claimCells() {
 	if r.pendingClaim != nil {
 		r.checkClaimTimeout()
@@ -84,9 +89,10 @@
 	}
 }
 
-// startupClaimDelay returns how long this host listens for holders after its start: not at
-// all where the last one is known to be dead. A weak host leaves stronger ones, which may
-// start as well, a moment to come first.
+// startupClaimDelay returns how long after its start this host waits for messages of
+// existing holders before it claims cells. The delay is zero if every cell has a claim
+// whose holder cannot return, for instance because it is known to have exited. A weak
+// host waits a little even then, since stronger hosts may be starting as well.
 func (r *Router) startupClaimDelay() time.Duration {
 	for _, c := range r.cells {
 		if c.claim.Token == 0 || r.mayHolderReturn(c) {
@@ -99,7 +105,8 @@
 	return 0
 }
 
-// hasMuchStrongerPeer reports whether a known host that shares this one's cells is much stronger.
+// hasMuchStrongerPeer reports whether a known host that shares cells with this one is
+// much stronger.
 func (r *Router) hasMuchStrongerPeer() bool {
 	for _, p := range r.peers {
 		if r.sharesCells(p.member.Zone) && hasMuchLessCPU(r.Self, p.member) {
@@ -125,8 +132,8 @@
 	return r.shouldMerge(c, candidates)
 }
 
-// hasFreshView reports whether this host has just heard from those of its cell that live, so
-// that it can tell which side of a cut it is on.
+// hasFreshView reports whether this host's view of the other hosts of its cells is
+// recent enough to tell which side of a network partition it is on.
 func (r *Router) hasFreshView() bool {
 	if !r.fullMesh && !r.hubs[r.Self.Address] {
 		return false
@@ -139,18 +146,18 @@
 	return true
 }
 
-// hasMuchLessCPU reports whether a host has less than half the processor share of the best,
-// so that a cell is worth moving.
+// hasMuchLessCPU reports whether a host has less than half the processor share of the
+// best host, so that moving a cell to the best host pays off.
 func hasMuchLessCPU(m, best Member) bool { return 2*m.CPUShare < best.CPUShare }
 
-// mayHolderReturn reports whether the holder of a cell was heard of so lately that it may
-// only not be in touch yet. One that is known to leave or to be dead is not
-// waited for.
+// mayHolderReturn reports whether a cell's holder may just not be reachable yet,
+// because its claim was received only recently. It returns false for a holder that is
+// leaving or that has exited.
 func (r *Router) mayHolderReturn(c *cell) bool {
 	holder := c.claim.Holder
 	wait := r.Bounds.PeerTimeout
 	if c.claimReceivedAt.Sub(r.startedAt) < r.Bounds.StartupDelay && r.isNoHolderReached() {
-		wait /= 4 // a living holder would have answered one of them by now
+		wait /= 4 // a running holder would have answered one of the reached peers by now
 	}
 	if r.now.Sub(c.claimReceivedAt) >= wait || r.isLeaving(holder) || holder.Address == r.Self.Address {
 		return false
@@ -159,8 +166,9 @@
 	return p == nil || !p.wasReachable || p.member.Incarnation <= holder.Incarnation
 }
 
-// isNoHolderReached reports whether this host reaches others, none of which reaches a holder.
-// All have started a moment ago, or the holder is dead.
+// isNoHolderReached reports whether at least one monitored peer is reachable and none
+// of these peers reaches its holder. Then either all hosts have just started or the
+// holder is unresponsive.
 func (r *Router) isNoHolderReached() bool {
 	noneReachable := true
 	for _, p := range r.peers {
@@ -174,9 +182,10 @@
 	return !noneReachable
 }
 
-// shouldMerge reports whether this host takes a cell from its living holder: the one that
-// holds the most cells unites them once both have been in touch for a while, so that
-// the fewest targets change hands.
+// shouldMerge reports whether this host should take a cell from a holder that is
+// reachable. The preferred holder is the host that holds the most cells, unless it is
+// much weaker than the best candidate, so that the fewest targets change their holder.
+// The two hosts must have been reachable to each other for Bounds.MergeDelay.
 func (r *Router) shouldMerge(c *cell, candidates []Member) bool {
 	preferred := candidates[0]
 	if !r.zonesSplit {
@@ -193,7 +202,7 @@
 			preferred = candidates[holderIndex]
 		}
 	} else if c.claim.Holder.Zone == c.zone && !hasMuchLessCPU(c.claim.Holder, preferred) {
-		return false // any strong host of the zone will do
+		return false // the holder belongs to the zone and is strong enough
 	}
 	if preferred.Address != r.Self.Address {
 		c.mergeWantedSince = time.Time{}
@@ -218,13 +227,15 @@
 }
 
 // isLongHolderless reports whether a cell has lacked a holder for so long that no other
-// host seems able to claim it. Then the store decides alone.
+// host seems able to claim it. Then a host may claim it without a majority; the store
+// resolves conflicts.
 func (r *Router) isLongHolderless(c *cell) bool {
 	return !c.holderlessSince.IsZero() && r.now.Sub(c.holderlessSince) >= 3*r.Bounds.PeerTimeout
 }
 
-// hasMajority reports whether this host is on the side of a cut that should
-// serve a zone: with most of the zone's hosts, or with most of all hosts.
+// hasMajority reports whether this host is on the side of a network partition that
+// should serve a zone: the side with most of the zone's hosts, or with most of all
+// hosts. A tie within the zone counts if the side has at least half of all hosts.
 func (r *Router) hasMajority(zone string) bool {
 	zoneHosts, reachableZoneHosts, allHosts, reachableHosts := 0, 0, 1, 1
 	leftHosts, unreachableHosts := 0, 0
@@ -237,7 +248,7 @@
 		}
 		if p.leaving && !r.isReachable(p) {
 			leftHosts++
-			continue // it has not been cut off, it has left
+			continue // it has shut down, so its absence is no sign of a partition
 		}
 		if !p.wasReachable {
 			continue
@@ -248,7 +259,7 @@
 		zoneHosts, reachableZoneHosts = zoneHosts+boolToInt(sameZone), reachableZoneHosts+boolToInt(sameZone && reachable)
 	}
 	if unreachableHosts > 1 {
-		allHosts += leftHosts // a cut, behind which they may be back by now
+		allHosts += leftHosts // a partition: the hosts that left may have restarted on the other side
 	}
 	if 2*reachableHosts > allHosts || reachableZoneHosts > 0 && 2*reachableZoneHosts > zoneHosts {
 		return true
@@ -256,7 +267,6 @@
 	return reachableZoneHosts > 0 && 2*reachableZoneHosts == zoneHosts && 2*reachableHosts >= allHosts
 }
 
-// boolToInt returns 1 for true.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -264,7 +274,7 @@
 	return 0
 }
 
-// startClaim begins to claim cells under a new token, through the store.
+// startClaim writes claims for cells to the store, under the token of a new generation.
 func (r *Router) startClaim(zones []string) {
 	r.generation++
 	token := r.tokenFor(r.generation)
@@ -280,7 +290,7 @@
 	r.emit(WriteClaims{Token: token, Rows: rows})
 }
 
-// formatAge returns the age of a moment for the log, or "" for none.
+// formatAge returns the time since a moment for the log, or "" for the zero time.
 func (r *Router) formatAge(at time.Time) string {
 	if at.IsZero() {
 		return ""
@@ -288,8 +298,10 @@
 	return r.now.Sub(at).Round(time.Millisecond).String()
 }
 
-// giveUpStake goes on without the store when it does not answer. Targets obey
-// the highest token, so two hosts that do so cannot both start tasks on one.
+// checkClaimTimeout ends a claim that the store has not answered in time. With a
+// majority of hosts this host then holds the cells without the store. This is safe
+// because targets obey only the highest token: two hosts that do so cannot both start
+// tasks at one target.
 func (r *Router) checkClaimTimeout() {
 	age := r.now.Sub(r.pendingClaim.startedAt)
 	if age < claimTimeout || age < r.Bounds.PeerTimeout && r.hasStalePeer() {
@@ -298,8 +310,9 @@
 	r.handleClaimsWritten(ClaimsWritten{Token: r.pendingClaim.token, Result: ClaimTimeout})
 }
 
-// hasStalePeer reports whether a peer has been heard of too long ago to tell whether it is
-// on this host's side of a cut: two and a half heartbeats.
+// hasStalePeer reports whether the last echo from a monitored peer is too old to tell
+// whether the peer is on this host's side of a partition: older than half of
+// Bounds.PeerTimeout, which is two and a half heartbeats.
 func (r *Router) hasStalePeer() bool {
 	for _, p := range r.peers {
 		if p.monitored && r.isReachable(p) && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout/2 {
@@ -309,7 +322,7 @@
 	return false
 }
 
-// handleClaimsWritten ends a claim.
+// handleClaimsWritten handles the store's answer to a claim, or its timeout.
 func (r *Router) handleClaimsWritten(e ClaimsWritten) {
 	hasNewer := r.applyStoredClaims(e)
 	pending := r.pendingClaim
@@ -323,7 +336,7 @@
 		r.postponeClaims(pending.zones)
 		return
 	case e.Result == ClaimConflict:
-		return // only the versions of the rows were not known; the next tick claims again
+		return // only the row versions were outdated; the next tick claims again
 	}
 	for _, zone := range pending.zones {
 		if e.Result == ClaimTimeout && !r.hasMajority(zone) {
@@ -338,14 +351,14 @@
 	r.emit(ReadDirectory{})
 }
 
-// applyStoredClaims takes what the store has of claims, and reports whether that is newer than
-// what was known.
+// applyStoredClaims applies the claims in the store's answer. It reports whether one of
+// them is newer than the claim that was known.
 func (r *Router) applyStoredClaims(e ClaimsWritten) (hasNewer bool) {
 	isPending := r.pendingClaim != nil && r.pendingClaim.token == e.Token
 	for _, row := range e.Rows {
 		c := r.cell(row.Claim.Zone)
 		if e.Result == ClaimConflict {
-			c.rowVersion = row.Version // as the store has it, whatever heartbeats have told
+			c.rowVersion = row.Version // the store is right even where heartbeats reported a higher version
 		}
 		c.rowVersion = max(c.rowVersion, row.Version)
 		if e.Result == ClaimWon && row.Claim.Token == c.claim.Token {
@@ -359,7 +372,7 @@
 	return hasNewer
 }
 
-// postponeClaims keeps this host from claiming the cells for a while.
+// postponeClaims keeps this host from claiming the cells for an exponential backoff.
 func (r *Router) postponeClaims(zones []string) {
 	for _, zone := range zones {
 		c := r.cells[zone]
@@ -368,8 +381,8 @@
 	}
 }
 
-// writePendingClaims writes claims to the store that were made while it was away, so that
-// hosts that start anew go on from the highest token.
+// writePendingClaims writes claims that were made during a store outage to the store,
+// so that hosts that start later continue from the highest token.
 func (r *Router) writePendingClaims() {
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Config is a whole configuration, as the operators last declared it.
+// Config is a complete configuration as operators have declared it.
 type Config struct {
 	Version  uint64    `cbor:"1,keyasint"`
 	Routes   []Route   `cbor:"2,keyasint"`
@@ -14,23 +14,23 @@
 	Limits   Limits    `cbor:"4,keyasint"`
 }
 
-// Route leads requests of a host name and a path prefix to a service.
+// Route maps requests with a host name and a path prefix to a service.
 type Route struct {
 	Name    string `cbor:"1,keyasint"`
 	Host    string `cbor:"2,keyasint"`
 	Prefix  string `cbor:"3,keyasint"`
 	Service string `cbor:"4,keyasint"`
-	// Timeout bounds a request.
+	// Timeout bounds the time of a request.
 	Timeout time.Duration `cbor:"5,keyasint"`
-	// Allowance is what the latency objective grants beyond the work itself,
-	// and Stretch the factor that it grants on the work.
+	// Allowance and Stretch define the latency objective: a job may take Stretch times
+	// its expected run time plus Allowance.
 	Allowance time.Duration `cbor:"6,keyasint"`
 	Stretch   float64       `cbor:"7,keyasint"`
 	// Priority orders routes; 0 is the most urgent.
 	Priority int `cbor:"8,keyasint"`
 	// MaxAttempts bounds the failed runs of a task.
 	MaxAttempts int `cbor:"9,keyasint"`
-	// ExternallyPlaced tells that only an external service knows which targets may be
+	// ExternallyPlaced is true if only an external service knows which targets may be
 	// used.
 	ExternallyPlaced bool `cbor:"10,keyasint,omitempty"`
 }
@@ -40,20 +40,20 @@
 	Name string `cbor:"1,keyasint"`
 	// MaxConnections bounds the open connections to one target.
 	MaxConnections int `cbor:"2,keyasint"`
-	// ChecksCapacity tells that targets refuse tasks that do not fit.
+	// ChecksCapacity is true if the service's targets refuse tasks that do not fit.
 	ChecksCapacity bool `cbor:"3,keyasint"`
 }
 
-// Limits bound what clients send.
+// Limits bound the requests of clients.
 type Limits struct {
 	MaxHeader   int           `cbor:"1,keyasint"` // bytes
 	MaxBody     int           `cbor:"2,keyasint"` // bytes
-	ReadTimeout time.Duration `cbor:"3,keyasint"` // for a request's header
-	IdleTimeout time.Duration `cbor:"4,keyasint"` // between two requests
+	ReadTimeout time.Duration `cbor:"3,keyasint"` // for the header of a request
+	IdleTimeout time.Duration `cbor:"4,keyasint"` // between two requests of a connection
 }
 
-// Match returns the route of a request: that of its host name with the longest
-// prefix of its path.
+// Match returns the route for a host name and a path: among the routes of the host, the
+// one with the longest prefix of the path. It returns false if there is none.
 func (c *Config) Match(host, path string) (Route, bool) {
 	bestIndex := -1
 	for i, route := range c.Routes {
@@ -70,19 +70,20 @@
 	return c.Routes[bestIndex], true
 }
 
-// Target is one entry of the platform's list of targets.
+// Target is an entry of the directory.
 type Target struct {
 	ID      string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 	Service string `cbor:"3,keyasint"`
 	Zone    string `cbor:"4,keyasint"`
-	// Draining tells that the target takes no new tasks and is about to leave.
+	// Draining is true if the target accepts no new tasks and is about to leave.
 	Draining bool `cbor:"5,keyasint,omitempty"`
-	// Capacity is what the target offers its tasks.
+	// Capacity is what the target offers to tasks.
 	Capacity Resources `cbor:"6,keyasint"`
 	// Labels are the target's kind and its rack.
 	Labels []string `cbor:"7,keyasint,omitempty"`
-	// StartedAt is the time of the target's start in Unix milliseconds, or 0.
+	// StartedAt is the time of the target's start in Unix milliseconds; 0 means
+	// unknown.
 	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -98,24 +99,25 @@
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
-// Minus returns r without the part.
+// Minus returns r less part.
 func (r Resources) Minus(part Resources) Resources {
 	return Resources{CPU: r.CPU - part.CPU, Memory: r.Memory - part.Memory, GPU: r.GPU - part.GPU}
 }
 
-// Directory is the platform's list of targets as of one version.
+// Directory is a version of the platform's list of targets.
 type Directory struct {
 	Version uint64   `cbor:"1,keyasint"`
 	Targets []Target `cbor:"2,keyasint"`
-	// Total is how many targets the list has, also where Targets are those of one
-	// zone only; 0 means as many as there are Targets.
+	// Total is the number of targets in all zones, even if Targets has only those of
+	// one zone; 0 means len(Targets).
 	Total int `cbor:"3,keyasint,omitempty"`
 }
 
-// targetCount returns how many targets the whole list has.
+// targetCount returns the number of targets in all zones.
 func (d Directory) targetCount() int { return max(d.Total, len(d.Targets)) }
 
-// hasSameTargets reports whether two directories list the same targets in the same state.
+// hasSameTargets reports whether two directories list the same targets in the same
+// state.
 func (d Directory) hasSameTargets(other Directory) bool {
 	return d.targetCount() == other.targetCount() && slices.EqualFunc(d.Targets, other.Targets, func(a, b Target) bool {
 		return a.ID == b.ID && a.Address == b.Address && a.Service == b.Service && a.Zone == b.Zone &&
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// refreshDirectory asks for the directory when it is due: the holder reads it, and the
-// others only while no holder does.
+// refreshDirectory requests the directory from the store when it is due. Holders read
+// it; other hosts do so only while no peer has read it recently.
 func (r *Router) refreshDirectory() {
 	if r.Self.Slot == 0 && len(r.directory.Targets) > 0 || r.now.Sub(r.directoryRequestedAt) < r.Bounds.DirectoryInterval {
 		return
@@ -28,7 +28,8 @@
 	return false
 }
 
-// hasPeerReadDirectory reports whether a peer has read the directory lately.
+// hasPeerReadDirectory reports whether a reachable peer that shares cells with this
+// host has read the directory within three intervals.
 func (r *Router) hasPeerReadDirectory() bool {
 	for _, p := range r.peers {
 		if r.sharesCells(p.member.Zone) && r.isReachable(p) && p.directoryAge+r.now.Sub(p.lastReceivedAt) < 3*r.Bounds.DirectoryInterval {
@@ -38,7 +39,7 @@
 	return false
 }
 
-// handleDirectoryRead takes the directory as the store had it.
+// handleDirectoryRead adopts the directory that was read from the store.
 func (r *Router) handleDirectoryRead(e DirectoryRead) {
 	if !r.storeOutageSince.IsZero() {
 		r.emit(Decision{Action: "store", Pairs: []any{"state", "regained", "after", r.formatAge(r.storeOutageSince)}})
@@ -54,11 +55,13 @@
 	r.adoptDirectory(e.Directory, e.RequestedAt, "store")
 }
 
-// maxShortOutage is how long the store may be away before entries of targets lapse.
+// maxShortOutage is how long the store may be unavailable before the directory entries
+// of targets expire.
 const maxShortOutage = time.Second
 
-// isStoreOutageRecent reports whether this host does not reach the store, or reaches it again
-// since a moment ago: entries of targets that were away with it have lapsed.
+// isStoreOutageRecent reports whether a store outage has lasted longer than
+// maxShortOutage, or whether such an outage ended at most Bounds.UnlistedGrace ago. The
+// entries of targets that could not reach the store either have then expired.
 func (r *Router) isStoreOutageRecent() bool {
 	if !r.storeOutageSince.IsZero() {
 		return r.now.Sub(r.storeOutageSince) > maxShortOutage
@@ -66,11 +69,12 @@
 	return !r.storeReturnedAt.IsZero() && r.now.Sub(r.storeReturnedAt) <= r.Bounds.UnlistedGrace
 }
 
-// handleDirectory takes the list that another host has read. One that comes from the
-// other side of a cut may lack targets that are sound.
+// handleDirectory adopts a directory that a peer has read. A directory from the other
+// side of a partition may lack healthy targets, so those are retained after a recent
+// store outage.
 func (r *Router) handleDirectory(p *peer, d Directory) {
 	if len(d.Targets) < d.Total && p.member.Zone != r.Self.Zone {
-		return // it lacks the targets of this zone
+		return // the peer's list is that of another zone
 	}
 	if r.isStoreOutageRecent() && r.now.Sub(p.reachableSince) <= r.Bounds.UnlistedGrace && d.Version > r.directory.Version {
 		r.retainMissingTargets(&d)
@@ -78,8 +82,9 @@
 	r.adoptDirectory(d, r.now.Add(-p.directoryAge), "peer")
 }
 
-// retainMissingTargets keeps entries that lapsed while the store was away, until their
-// targets have had time to register again.
+// retainMissingTargets adds the targets of the current directory that d lacks, because
+// their entries expired during a store outage. They stay until they have had time to
+// register again.
 func (r *Router) retainMissingTargets(d *Directory) {
 	for _, old := range r.directory.Targets {
 		if !slices.ContainsFunc(d.Targets, func(t Target) bool { return t.ID == old.ID }) {
@@ -88,7 +93,7 @@
 	}
 }
 
-// handleDirectoryReadFailed notes that the store did not show the directory.
+// handleDirectoryReadFailed records the begin of a store outage.
 func (r *Router) handleDirectoryReadFailed() {
 	if r.storeOutageSince.IsZero() {
 		r.storeOutageSince = r.now
@@ -96,7 +101,7 @@
 	}
 }
 
-// adoptDirectory adopts a directory that differs from the one in force.
+// adoptDirectory replaces the current directory if d is newer and differs from it.
 func (r *Router) adoptDirectory(d Directory, requestedAt time.Time, source string) {
 	if d.Version <= r.directory.Version {
 		return
@@ -123,8 +128,8 @@
 	}
 }
 
-// dropForeignTargets drops the targets of zones that this host has nothing to do with, since each
-// zone has a holder of its own.
+// dropForeignTargets removes the targets of other zones from d if each zone has a
+// holder of its own, except those of cells that this host holds.
 func (r *Router) dropForeignTargets(d *Directory) {
 	d.Total = d.targetCount()
 	r.updateTotalTargets(d.Version, d.Total)
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,10 +1,30 @@
-// Package router is the reducer of an entry host on a platform of leased targets.
+// Package router contains the logic of an entry host as a deterministic state machine.
 //
-// Every host takes jobs from clients. The targets of an availability zone form a
-// cell, which one host at a time holds. Jobs go to the holder of the zone's cell;
-// as long as one host can carry them all, it holds every cell and decides over one
-// pool. The holder queues and refuses jobs, places their tasks, keeps the targets'
-// leases and tells the jobs' hosts how they ended.
+// Hosts and targets. An entry host is a process that accepts jobs from clients. A job
+// consists of one or more equal tasks that run side by side. Tasks run at targets,
+// which the platform lists in its directory. One start of a task at a target is a run;
+// each further start of the task is a run with a higher number. A target runs tasks
+// under a lease: it ends its runs when the lease expires without renewal.
 //
-// Step takes one event and returns effects as data. It does no input or output.
+// Cells and holders. The targets of an availability zone form a cell. One host at a
+// time, the holder, decides what runs in a cell. A host becomes the holder by a claim,
+// a row in the platform's store that names the zone, the holder and a fencing token.
+// The claim with the highest token is the current one, and a target that has seen a
+// token rejects orders with a lower one. While one host can manage all targets, it
+// holds every cell and places tasks in all of them; otherwise each zone has a holder of
+// its own.
+//
+// Jobs. A host offers its clients' jobs to the holder of its own zone's cell. The
+// holder queues or refuses each job, and it manages the targets by orders: Start begins
+// a run, Stop ends a run, and Renew extends the lease and returns the list of runs.
+// When a job has ended, the holder sends the verdict, the final result, to the job's
+// host, which answers the client.
+//
+// Failures. Hosts monitor each other by heartbeats, which also carry the claims. When
+// the holder stops responding, the next host in an order that all hosts agree on claims
+// the cell. The other hosts offer it their jobs again, and it adopts the runs that are
+// still under way.
+//
+// Router.Step applies one event and returns effects as data. The package performs no
+// input or output and does not read the clock.
 package router
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	// shutdownAnswerReserve is the part of the grace that is left for the last answers.
+	// shutdownAnswerReserve is the part of Bounds.ShutdownTimeout that is reserved for
+	// sending the last answers.
 	shutdownAnswerReserve = 500 * time.Millisecond
 )
 
-// handleDrain begins a graceful shutdown: the next candidates claim this host's cells,
-// and requests are taken until the balancer has noticed.
+// handleDrain begins a graceful shutdown: successors claim this host's cells, and this
+// host accepts requests until the load balancer has noticed.
 func (r *Router) handleDrain() {
 	if !r.leavingSince.IsZero() {
 		return
@@ -18,7 +19,8 @@
 	r.sendHeartbeats()
 }
 
-// finishShutdown ends the shutdown once nothing is open here, or its time is over.
+// finishShutdown halts once no request and no held job is open, or shortly before the
+// shutdown times out.
 func (r *Router) finishShutdown() {
 	if r.leavingSince.IsZero() || r.halted {
 		return
@@ -48,7 +50,7 @@
 	}
 }
 
-// hasOpenHeldJobs reports whether jobs depend on this host as their holder.
+// hasOpenHeldJobs reports whether jobs that this host holds are still open.
 func (r *Router) hasOpenHeldJobs() bool {
 	for _, j := range r.jobs {
 		if !j.ended {
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is an output of Router.Step, to be carried out in order.
+// Effect is an output of Router.Step. The effects of a step must be executed in order.
 type Effect interface{ effect() }
 
 // Answer is the final answer to a Submit.
@@ -11,7 +11,7 @@
 	Verdict Verdict
 }
 
-// Cancelled answers a Cancel. Known tells whether the job was open here.
+// Cancelled answers a Cancel. Known reports whether the job was open at this host.
 type Cancelled struct {
 	Request uint64
 	Known   bool
@@ -20,23 +20,23 @@
 // OpenJobs answers a CountOpen.
 type OpenJobs struct {
 	Request uint64
-	// Unstarted counts the open jobs of which no task is known to have started, by
-	// route.
+	// Unstarted counts the open jobs, by route, of which no task is known to be done.
 	Unstarted map[string]int
-	// Open are the states of the open jobs, by ID: true for one that has begun.
+	// Open maps the IDs of the open jobs to whether a task of the job is known to be
+	// done.
 	Open map[string]bool
 }
 
-// Send hands a message to the link to another host.
+// Send sends a message over the link to another host.
 type Send struct {
 	To      string // address
 	Message Message
 }
 
-// Dial asks for links to the addresses, beside those there are.
+// Dial opens links to addresses, in addition to the existing links.
 type Dial struct{ Addresses []string }
 
-// CloseLink closes the link to a host that is gone.
+// CloseLink closes the link to a host that was removed.
 type CloseLink struct{ Address string }
 
 // Redial replaces the connection to a host that does not answer.
@@ -49,11 +49,11 @@
 	Task     string
 	Run      int
 	Spec     string
-	LeaseEnd int64 // end of the lease in the target's milliseconds
+	LeaseEnd int64 // end of the lease on the target's clock, in milliseconds
 	Timeout  time.Duration
 }
 
-// Stop orders a target to end a run. It is answered by one StopAnswered.
+// Stop orders a target to stop a run. It is answered by one StopAnswered.
 type Stop struct {
 	Target  Target
 	Token   uint64
@@ -62,76 +62,80 @@
 	Timeout time.Duration
 }
 
-// Renew extends a target's lease and asks what runs there. It is answered by
-// one RenewAnswered.
+// Renew extends a target's lease and requests its list of runs. It is answered by one
+// RenewAnswered.
 type Renew struct {
 	Target Target
 	Token  uint64
-	// Acked is the number up to which ends need not be listed again.
+	// Acked is the number of the newest end that this host has processed; the target
+	// need not list ends up to it again.
 	Acked int
-	// LeaseEnd is the end of the lease in the target's milliseconds; 0 leaves it.
+	// LeaseEnd is the new end of the lease on the target's clock, in milliseconds; 0
+	// leaves the lease unchanged.
 	LeaseEnd int64
-	// Wait is how long the answer waits for an end.
+	// Wait is how long the target may delay the answer until a run ends.
 	Wait    time.Duration
 	Timeout time.Duration
-	// Poll marks a renewal beside the one that waits.
+	// Poll marks a renewal that does not wait and is sent beside the waiting one.
 	Poll bool
 }
 
-// WarmUp opens connections to a target, or uses them so that they stay open, without any
-// effect there. It is not answered.
+// WarmUp opens connections to a target, or uses open ones so that they stay open. It
+// has no effect at the target and is not answered.
 type WarmUp struct {
 	Target      Target
 	Connections int
 	Timeout     time.Duration
 }
 
-// CloseIdle drops the idle connections to a target.
+// CloseIdle closes the idle connections to a target.
 type CloseIdle struct {
 	ID string
-	// Gone tells that the target is not used again.
+	// Gone is true if the target will not be used again.
 	Gone bool
 }
 
-// WriteClaims writes claims to the store, each on the condition that its row has the
+// WriteClaims writes claims to the store on the condition that each row has the given
 // version. It is answered by one ClaimsWritten.
 type WriteClaims struct {
 	Token uint64
 	Rows  []StoredClaim
 }
 
-// ReadDirectory asks for the list of targets. It is answered by DirectoryRead or DirectoryReadFailed.
+// ReadDirectory requests the directory from the store. It is answered by one
+// DirectoryRead or DirectoryReadFailed.
 type ReadDirectory struct{}
 
-// SaveLearnedState writes what was learned to the store, for the time after a loss of all hosts.
+// SaveLearnedState saves learned state to the store, to be loaded if all hosts are
+// lost.
 type SaveLearnedState struct {
 	Routes []RouteStats `cbor:"1,keyasint"`
 	Speeds []KindSpeed  `cbor:"2,keyasint"`
 }
 
-// RemoveMember removes a member that has gone from the store.
+// RemoveMember removes a member that has exited from the store.
 type RemoveMember struct{ Member Member }
 
-// Decision is one decision for the log.
+// Decision is a decision for the log.
 type Decision struct {
 	Action string
 	Job    string
 	Task   string
 	Target string
-	// Pairs are further keys and values: inputs, their age, the outcome.
+	// Pairs are further keys and values: the inputs, their age, the result.
 	Pairs []any
-	// Routine tells that the decision explains no refusal or failure; it is left out
-	// of the log first.
+	// Routine is true if the decision explains no refusal or failure. Routine decisions
+	// are the first to be left out of the log.
 	Routine bool
 }
 
-// Violation reports a broken invariant. It is a defect of the program.
+// Violation reports a broken invariant, which is a defect of the program.
 type Violation struct {
 	Invariant string
 	Detail    string
 }
 
-// Halt tells that the shutdown is over and the process may end.
+// Halt reports that the shutdown is complete and the process may exit.
 type Halt struct{}
 
 func (Answer) effect()           {}
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -5,10 +5,10 @@
 // Event is an input of Router.Step.
 type Event interface{ event() }
 
-// Tick tells that time has passed. It comes at least every Bounds.TickInterval.
+// Tick reports that time has passed. It must arrive at least every Bounds.TickInterval.
 type Tick struct{}
 
-// Submit brings a job of a client of this host. It is answered by one Answer.
+// Submit submits a job for a client of this host. It is answered by one Answer.
 type Submit struct {
 	Request uint64
 	Job     Job
@@ -16,10 +16,10 @@
 	Budget time.Duration
 }
 
-// ClientGone tells that the client of a request has gone.
+// ClientGone reports that the client of a request has disconnected.
 type ClientGone struct{ Request uint64 }
 
-// Cancel withdraws a job. It is answered by one Cancelled.
+// Cancel withdraws a job at a client's request. It is answered by one Cancelled.
 type Cancel struct {
 	Request uint64
 	ID      string
@@ -28,26 +28,28 @@
 // CountOpen asks for the open jobs of this host. It is answered by one OpenJobs.
 type CountOpen struct{ Request uint64 }
 
-// Receive brings a message of another entry host.
+// Receive delivers a message from another entry host.
 type Receive struct {
 	From    string // address
 	Message Message
 }
 
-// Adopt brings a configuration; it is taken only when its version is higher.
+// Adopt delivers a configuration from the store. It is ignored unless its version is
+// higher than the current one.
 type Adopt struct{ Config *Config }
 
-// DirectoryRead brings the list of targets, read from the store at RequestedAt.
+// DirectoryRead delivers the directory that was requested from the store at
+// RequestedAt.
 type DirectoryRead struct {
 	RequestedAt time.Time
 	Directory   Directory
 }
 
-// DirectoryReadFailed tells that the list of targets could not be read.
+// DirectoryReadFailed reports that the directory could not be read from the store.
 type DirectoryReadFailed struct{}
 
-// Registered tells the slot under which this host was registered, and the other
-// members and claims that the store has.
+// Registered reports the slot under which this host is registered, how often the slot
+// has been used, and the members and claims in the store.
 type Registered struct {
 	Slot     int
 	SlotUses int
@@ -55,36 +57,39 @@
 	Claims   []StoredClaim
 }
 
-// LearnedStateRead brings what holders of earlier times have written to the store.
+// LearnedStateRead delivers the learned state that earlier holders have saved to the
+// store.
 type LearnedStateRead struct{ Saved []SaveLearnedState }
 
-// StoredClaim is a claim in the store with the version of its row.
+// StoredClaim is a claim in the store and the version of its row.
 type StoredClaim struct {
 	Claim   Claim
 	Version uint64
 }
 
-// ClaimsWritten tells how a WriteClaims ended.
+// ClaimsWritten reports the result of a WriteClaims.
 type ClaimsWritten struct {
 	Token  uint64
 	Result ClaimResult
-	// Rows are the rows after the write or those that stood against it.
+	// Rows are the rows after the write, or after a conflict the rows that the store
+	// has.
 	Rows []StoredClaim
 }
 
-// ClaimResult is how a WriteClaims ended.
+// ClaimResult is the result of a WriteClaims.
 type ClaimResult string
 
 const (
 	// ClaimWon means that the rows were written.
 	ClaimWon ClaimResult = "won"
-	// ClaimConflict means that a row has changed meanwhile.
+	// ClaimConflict means that a row had another version than expected, because another
+	// host has written it.
 	ClaimConflict ClaimResult = "beaten"
 	// ClaimTimeout means that the store did not answer in time.
 	ClaimTimeout ClaimResult = "silent"
 )
 
-// StartResult is what a target answered to a Start.
+// StartResult is a target's answer to an order, or why there is none.
 type StartResult string
 
 const (
@@ -92,21 +97,25 @@
 	Running StartResult = "running"
 	// Fenced means that the target obeys a higher token.
 	Fenced StartResult = "fenced"
-	// StaleRun means that the run is not higher than one that has ended there.
+	// StaleRun means that the run number is not higher than that of a run that has
+	// ended there.
 	StaleRun StartResult = "outdated"
-	// OrderExpired means that the order's lease had passed.
+	// OrderExpired means that the lease in the order had expired when the order
+	// arrived.
 	OrderExpired StartResult = "belated"
-	// NoCapacity means that the task does not fit beside the others.
+	// NoCapacity means that the task does not fit beside the other runs.
 	NoCapacity StartResult = "crowded"
-	// Unhealthy means that the target refused and did nothing.
+	// Unhealthy means that the target refused the order because it is unhealthy and did
+	// nothing.
 	Unhealthy StartResult = "unhealthy"
 	// Invalid means that the target does not understand the order.
 	Invalid StartResult = "invalid"
-	// Replaced means that another process answers at the address.
+	// Replaced means that another process answers at the target's address.
 	Replaced StartResult = "replaced"
-	// NoAnswer means that no answer came: the task may run, now or later.
+	// NoAnswer means that no answer arrived: the task may be running or may start
+	// later.
 	NoAnswer StartResult = "doubtful"
-	// NotSent means that no connection could be made: nothing was sent.
+	// NotSent means that no connection could be made, so the order was not sent.
 	NotSent StartResult = "unsent"
 )
 
@@ -119,14 +128,15 @@
 	Clock  Reading
 }
 
-// Reading is a target's clock, in its milliseconds, in an answer that arrived
-// at At. The zero value means that there was none.
+// Reading is the time on a target's clock, in its milliseconds, from an answer that
+// arrived at At. The zero value means that the answer had none.
 type Reading struct {
 	Millis int64
 	At     time.Time
 }
 
-// StopAnswered is the answer to a Stop. Acknowledged tells that the target took the order.
+// StopAnswered is the answer to a Stop. Acknowledged is true if the target accepted the
+// order.
 type StopAnswered struct {
 	Target       string
 	Task         string
@@ -138,12 +148,12 @@
 type RenewAnswered struct {
 	Target string
 	Token  uint64
-	// SentAt is when the order left.
+	// SentAt is when the order was sent.
 	SentAt time.Time
-	// Poll repeats what the order said.
+	// Poll is copied from the order.
 	Poll bool
-	// Result is Running for a good answer; Fenced, Replaced or NoAnswer tell
-	// why there is none.
+	// Result is Running if the target answered with its list of runs. Fenced, Replaced
+	// and NoAnswer say why there is no list.
 	Result    StartResult
 	Clock     Reading
 	StartedAt int64
@@ -155,7 +165,7 @@
 type RunningTask struct {
 	Task string
 	Run  int
-	// Percent is how much of its work the run has done.
+	// Percent is the part of its work that the run has done.
 	Percent float64
 }
 
@@ -167,21 +177,21 @@
 	Reason EndReason
 }
 
-// EndReason is how a run ended.
+// EndReason is why a run ended.
 type EndReason string
 
 const (
-	// EndDone means that the task did its work.
+	// EndDone means that the task is done.
 	EndDone EndReason = "done"
 	// EndFailed means that the run failed.
 	EndFailed EndReason = "failed"
-	// EndStopped means that it was stopped.
+	// EndStopped means that the run was stopped by an order.
 	EndStopped EndReason = "stopped"
-	// EndLeaseExpired means that its lease ran out.
+	// EndLeaseExpired means that the lease of the run expired.
 	EndLeaseExpired EndReason = "lapsed"
 )
 
-// Drain asks for a graceful shutdown.
+// Drain requests a graceful shutdown.
 type Drain struct{}
 
 func (Tick) event()                {}
@@ -200,11 +210,11 @@
 func (RenewAnswered) event()       {}
 func (Drain) event()               {}
 
-// LinkOpened tells that messages to another host have a new connection; what was
-// sent on an earlier one may be lost.
+// LinkOpened reports a new connection to another host. Messages sent over a previous
+// connection may be lost.
 type LinkOpened struct{ Address string }
 
-// PeerExited tells that nobody listens at another host's address.
+// PeerExited reports that nobody listens at another host's address.
 type PeerExited struct{ Address string }
 
 func (CountOpen) event()  {}
--- a/internal/router/near.go
+++ b/internal/router/near.go
@@ -7,33 +7,38 @@
 )
 
 const (
-	// successorCount is how many of the next holders of a cell all its hosts stay in
-	// close touch with, so that a takeover starts from fresh knowledge: two fail
-	// together now and then.
+	// successorCount is how many likely successors of a holder all hosts of the cell
+	// monitor, so that a takeover starts from a recent view of the hosts. It is two
+	// because two hosts occasionally fail together.
 	successorCount = 2
-	// holderlessSuccessorCount is how many they are while the cell lacks a holder: after the
-	// loss of half of all hosts, five in a row are lost in one of 32 cases.
+	// holderlessSuccessorCount replaces successorCount while the cell lacks a holder.
+	// After the loss of half of all hosts, the first five successors are all lost in
+	// one of 32 cases.
 	holderlessSuccessorCount = 5
-	// heartbeatRequestDuration is how long a peer is sent the heartbeats that it has asked for: several
-	// of its own.
+	// heartbeatRequestDuration is how long a request for heartbeats at the short
+	// interval stays valid. It covers several heartbeats of the peer, each of which
+	// repeats the request.
 	heartbeatRequestDuration = time.Second
-	// successorExclusionPeriod is how long a host that did not answer is passed over as a successor,
-	// unless it is heard of.
+	// successorExclusionPeriod is how long an unresponsive host is not considered a
+	// successor, unless a heartbeat of it arrives.
 	successorExclusionPeriod = 5 * time.Second
-	// maxMissedBackgroundRounds is how many heartbeats in a row a peer that is not near may miss.
+	// maxMissedBackgroundRounds is how many rounds of background heartbeats a
+	// background peer may miss.
 	maxMissedBackgroundRounds = 3
-	// claimsInterval is the period at which claims are told that have not changed: a
-	// heartbeat that was lost is made up for before its sender counts as silent.
+	// claimsInterval is the interval at which unchanged claims are sent again, so that
+	// a peer that missed a heartbeat with claims receives them before the sender's
+	// PeerTimeout expires.
 	claimsInterval = 400 * time.Millisecond
-	// learnedStateInterval is the period at which a holder tells what it has learned.
+	// learnedStateInterval is the interval at which a holder sends its learned state.
 	learnedStateInterval = time.Second
 )
 
-// sharesCells reports whether a cell is shared with the hosts of a zone: with all
-// while one host holds every cell, otherwise with those of this host's zone.
+// sharesCells reports whether this host shares cells with the hosts of a zone: with all
+// hosts while one host holds every cell, otherwise with those of its own zone.
 func (r *Router) sharesCells(zone string) bool { return zone == r.Self.Zone || !r.zonesSplit }
 
-// cellHostCount counts the known hosts of this host's cells, itself included.
+// cellHostCount returns the number of known hosts that share cells with this one, this
+// host included.
 func (r *Router) cellHostCount() int {
 	count := 1
 	for _, p := range r.peers {
@@ -44,8 +49,9 @@
 	return count
 }
 
-// peerTimeout returns how long a peer may be unheard. One that has only just become near
-// is given the time of an answer first.
+// peerTimeout returns the age of the last echo from which on a peer counts as
+// unreachable. A peer that has just become monitored keeps the longer timeout of
+// background peers until it has had time to answer.
 func (r *Router) peerTimeout(p *peer) time.Duration {
 	if p.monitored && r.hasHadTimeToAnswer(p) {
 		return r.Bounds.PeerTimeout
@@ -53,34 +59,38 @@
 	return r.backgroundPeerTimeout()
 }
 
-// hasHadTimeToAnswer reports whether a near peer has had the time to answer.
+// hasHadTimeToAnswer reports whether a monitored peer has had the time to answer a
+// heartbeat since it became monitored.
 func (r *Router) hasHadTimeToAnswer(p *peer) bool {
 	return r.now.Sub(p.monitoredSince) >= r.Bounds.PeerTimeout/2
 }
 
-// backgroundPeerTimeout returns how long peers that are not near may be unheard.
+// backgroundPeerTimeout returns the timeout of background peers.
 func (r *Router) backgroundPeerTimeout() time.Duration {
 	return max(r.Bounds.PeerTimeout, maxMissedBackgroundRounds*time.Duration(len(r.peers))*r.Bounds.BackgroundInterval)
 }
 
-// memberExpiry returns when an unheard peer no longer counts as a member.
+// memberExpiry returns how long after its last heartbeat a peer is removed.
 func (r *Router) memberExpiry() time.Duration {
 	return max(r.Bounds.MemberExpiry, r.backgroundPeerTimeout())
 }
 
-// isPresumedAlive reports whether a peer may be alive as far as is known.
+// isPresumedAlive reports whether a peer may become a holder as far as is known: it is
+// registered, is not leaving, has not exited, and was not found unresponsive within
+// successorExclusionPeriod.
 func (r *Router) isPresumedAlive(p *peer) bool {
 	return !p.leaving && !p.exited && p.member.Slot > 0 && (p.unresponsiveSince.IsZero() || r.now.Sub(p.unresponsiveSince) > successorExclusionPeriod)
 }
 
-// compareCandidates orders candidates for cells: strong hosts first.
+// compareCandidates orders candidates for cells by strength, strongest first. Slot and
+// address break ties.
 func compareCandidates(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.Address, b.Address))
 }
 
-// hubAddresses returns the addresses of the hosts that all hosts of a cell stay in close
-// touch with: its holder and those that would hold it next. Other hosts need not
-// hear of each other often, so a host's heartbeats do not grow with their number.
+// hubAddresses returns the addresses of the hubs: the holders and their likely
+// successors, which all hosts of the cells monitor. Other hosts need not monitor each
+// other, so the heartbeats of a host do not grow with the number of hosts.
 func (r *Router) hubAddresses() map[string]bool {
 	hubs := make(map[string]bool)
 	for zone, c := range r.cells {
@@ -108,7 +118,7 @@
 	return hubs
 }
 
-// updateMonitoredPeers decides which peers are near.
+// updateMonitoredPeers recomputes the hubs and which peers are monitored.
 func (r *Router) updateMonitoredPeers() {
 	r.updateZonesSplit()
 	r.hubs = r.hubAddresses()
@@ -118,8 +128,8 @@
 	}
 }
 
-// updateMonitored decides whether a peer is near: it has asked to be, or one of the two holds
-// the other's cell or would hold it next.
+// updateMonitored decides whether a peer is monitored: it has asked for heartbeats
+// recently, or this host needs heartbeats from it.
 func (r *Router) updateMonitored(p *peer) {
 	monitored := !p.heartbeatsRequestedAt.IsZero() && r.now.Sub(p.heartbeatsRequestedAt) < heartbeatRequestDuration || r.needsHeartbeatsFrom(p)
 	if monitored && !p.monitored {
@@ -129,7 +139,9 @@
 	p.monitored = monitored
 }
 
-// needsHeartbeatsFrom reports whether this host needs a peer's heartbeats at the short period.
+// needsHeartbeatsFrom reports whether this host needs heartbeats from a peer at the
+// short interval: it holds the peer's cell, the peer is a hub, or the two share cells
+// and this host is a hub or all hosts monitor each other.
 func (r *Router) needsHeartbeatsFrom(p *peer) bool {
 	if c := r.cells[p.member.Zone]; c != nil && c.heldHere || r.hubs[p.member.Address] {
 		return true
@@ -137,7 +149,6 @@
 	return r.sharesCells(p.member.Zone) && (r.fullMesh || r.hubs[r.Self.Address])
 }
 
-// sendDueHeartbeats sends heartbeats when they are due.
 func (r *Router) sendDueHeartbeats() {
 	if r.now.Sub(r.lastHeartbeatAt) >= r.Bounds.HeartbeatInterval {
 		r.sendHeartbeats()
@@ -148,7 +159,8 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat to every near peer.
+// sendHeartbeats sends a heartbeat to every monitored peer. Most heartbeats are brief,
+// without claims and without the sender's name and address.
 func (r *Router) sendHeartbeats() {
 	r.lastHeartbeatAt = r.now
 	r.updateMonitoredPeers()
@@ -174,7 +186,8 @@
 	}
 }
 
-// sendBackgroundHeartbeat sends a heartbeat to the related peer that has waited for one longest.
+// sendBackgroundHeartbeat sends a heartbeat to the background peer that shares cells
+// with this host and has waited longest for one.
 func (r *Router) sendBackgroundHeartbeat() {
 	var longestWaiting *peer
 	for _, p := range r.sortedPeers() {
@@ -188,7 +201,7 @@
 	}
 }
 
-// knownClaims returns the cells whose holders are known and matter to this host's zone.
+// knownClaims returns the known claims of cells that this host holds or shares.
 func (r *Router) knownClaims() []Claim {
 	var claims []Claim
 	for _, zone := range sortedKeys(r.cells) {
@@ -201,7 +214,8 @@
 	return claims
 }
 
-// sendFullHeartbeat sends a whole heartbeat to one peer.
+// sendFullHeartbeat sends a peer a heartbeat with the claims and the sender's name and
+// address.
 func (r *Router) sendFullHeartbeat(p *peer) {
 	heartbeat := r.newHeartbeat()
 	heartbeat.Echo, heartbeat.Claims, heartbeat.WantsHeartbeats = p.lastPeerTimestamp, r.knownClaims(), r.needsHeartbeatsFrom(p)
@@ -209,8 +223,9 @@
 	r.send(p, Message{Heartbeat: &heartbeat})
 }
 
-// isDirectoryDue reports whether a peer that lacks the directory in force is sent it now:
-// those that might hold the cell next at once, and others in turn.
+// isDirectoryDue reports whether a peer that lacks the current directory should receive
+// it now. Hubs, all hosts of a full mesh and peers without any directory receive it at
+// once; other peers at most once in directoryResendInterval.
 func (r *Router) isDirectoryDue(p *peer) bool {
 	sinceSent := r.now.Sub(p.directorySentAt)
 	if p.directoryVersion == 0 || r.fullMesh || r.hubs[p.member.Address] {
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -5,55 +5,59 @@
 	"time"
 )
 
-// peer is another entry host as this one knows it.
+// peer is the state of another entry host as this host knows it.
 type peer struct {
 	member Member
-	// lastPeerTimestamp is the newest time on the peer's clock that was heard, and echoed
-	// the newest time of this host that came back.
+	// lastPeerTimestamp is the newest Sent time received from the peer, on the peer's
+	// clock. lastEchoedAt is the newest Sent time of this host that the peer has
+	// echoed, on this host's clock.
 	lastPeerTimestamp int64
 	lastEchoedAt      time.Time
-	reachableSince    time.Time // in touch without a break since then
-	lastReceivedAt    time.Time // last message
-	// leaving tells that the peer is shutting down.
+	reachableSince    time.Time // since when the peer is reachable without interruption; zero while it is not
+	lastReceivedAt    time.Time // when the last heartbeat arrived
+	// leaving is true while the peer shuts down.
 	leaving bool
-	// reachesHolder tells that the peer reaches the holder of its zone's cell.
+	// reachesHolder is true if the peer reaches the holder of its zone's cell.
 	reachesHolder    bool
 	configVersion    uint64
 	directoryVersion uint64
 	directoryAge     time.Duration
-	wasReachable     bool // has been in touch in this life
-	// monitored tells that heartbeats go to the peer at the short period, nearSince since
-	// when, and asked until when it wants them.
+	wasReachable     bool // the peer has been reachable in its current incarnation
+	// monitored is true for a monitored peer, which is sent heartbeats at the short
+	// interval, and false for a background peer. monitoredSince is when it became
+	// monitored, heartbeatsRequestedAt when it last asked for heartbeats at the short
+	// interval.
 	monitored             bool
 	monitoredSince        time.Time
 	heartbeatsRequestedAt time.Time
 	dialled               bool
-	// unresponsiveSince is when the peer was found not to answer, and severed tells that its
-	// process has gone rather than that it may be behind a cut.
+	// unresponsiveSince is when the peer was found not to answer. exited is true if
+	// nobody listens at the peer's address, so its process is gone rather than behind a
+	// partition.
 	unresponsiveSince time.Time
 	exited            bool
-	jobsAllowed       bool // jobs of its clients may run
+	jobsAllowed       bool // jobs of the peer's clients may run
 	lastRedialAt      time.Time
-	// sentConfigVersion is the version of the configuration that was last sent to the peer,
-	// and told is when.
+	// sentConfigVersion is the version of the configuration that was last sent to the
+	// peer, configSentAt when that was.
 	sentConfigVersion uint64
 	configSentAt      time.Time
-	// sentDirectoryVersion is the version of the directory that was last sent to the peer, and
-	// toldTargets is when.
+	// sentDirectoryVersion is the version of the directory that was last sent to the
+	// peer, directorySentAt when that was.
 	sentDirectoryVersion     uint64
 	directorySentAt          time.Time
-	claimsSentAt             time.Time // when it was last sent the claims
-	previousTargetsSentToken uint64    // token of the claim under which it was told of former targets
+	claimsSentAt             time.Time // when claims were last sent to the peer
+	previousTargetsSentToken uint64    // token of the claim under which the previous targets were sent to the peer
 }
 
-// isReachable reports whether messages pass both ways: a time of this host's clock
-// that came back is no older than the bound. It holds through one-way cuts,
-// frozen peers and delayed messages alike.
+// isReachable reports whether messages pass in both directions: the newest time of this
+// host's clock that the peer has echoed is within the timeout. This one test detects
+// one-way packet loss, paused processes and delayed messages.
 func (r *Router) isReachable(p *peer) bool {
 	return !p.lastEchoedAt.IsZero() && r.now.Sub(p.lastEchoedAt) <= r.peerTimeout(p)
 }
 
-// mayRunJobsOf reports whether the jobs of the peer's clients may run on.
+// mayRunJobsOf reports whether the jobs of the peer's clients may continue to run here.
 func (r *Router) mayRunJobsOf(p *peer) bool {
 	return !p.lastEchoedAt.IsZero() && r.now.Sub(p.lastEchoedAt) <= r.Bounds.OriginTimeout
 }
@@ -68,7 +72,9 @@
 
 func (r *Router) send(p *peer, m Message) { r.emit(Send{To: p.member.Address, Message: m}) }
 
-// addPeer makes sure that a member is known. It is dialled once a heartbeat is due.
+// addPeer returns the peer of a member, which it adds if necessary, or nil for this
+// host or a member without an address. It only dials the peer if the peer is monitored;
+// otherwise the first heartbeat does.
 func (r *Router) addPeer(m Member) *peer {
 	if m.Address == r.Self.Address || m.Address == "" {
 		return nil
@@ -82,7 +88,7 @@
 	return p
 }
 
-// dial asks for a link to a peer, once.
+// dial requests a link to a peer unless one was requested before.
 func (r *Router) dial(p *peer) {
 	if !p.dialled {
 		p.dialled = true
@@ -90,7 +96,8 @@
 	}
 }
 
-// handleMessage takes a message of a peer.
+// handleMessage handles a message from a peer. Malformed messages, and messages from
+// peers that have sent no heartbeat yet, are ignored.
 func (r *Router) handleMessage(e Receive) {
 	if err := e.Message.Check(); err != nil {
 		r.emit(Decision{Action: "ignore", Pairs: []any{"from", e.From, "kind", e.Message.Kind(), "error", err.Error()}})
@@ -102,7 +109,7 @@
 		return
 	}
 	if p == nil {
-		return // its heartbeat comes first
+		return // the sender is unknown until its first heartbeat
 	}
 	switch m := e.Message; {
 	case m.Offer != nil:
@@ -122,8 +129,8 @@
 	}
 }
 
-// handleHeartbeat takes a heartbeat. A brief one, without the sender's name and address, only
-// says something of the process that the sender is known by.
+// handleHeartbeat handles a heartbeat. A brief heartbeat, without the sender's name and
+// address, is ignored unless it is from the incarnation by which the peer is known.
 func (r *Router) handleHeartbeat(p *peer, heartbeat *Heartbeat) {
 	if heartbeat.Member.Address != "" {
 		p = r.identifyPeer(heartbeat.Member)
@@ -160,7 +167,9 @@
 	}
 }
 
-// identifyPeer returns the peer that a heartbeat names, or nil for one of an earlier process.
+// identifyPeer returns the peer that a heartbeat names, or nil if the heartbeat is from
+// a previous incarnation or from this host's own address. If the peer was reachable and
+// has restarted, its state is reset and its jobs are ended.
 func (r *Router) identifyPeer(m Member) *peer {
 	p := r.addPeer(m)
 	if p == nil || m.Incarnation < p.member.Incarnation {
@@ -177,7 +186,8 @@
 	return p
 }
 
-// handlePeerReachable notes that messages pass both ways and passes on what the peer lacks.
+// handlePeerReachable records that messages pass in both directions and sends the peer
+// the state that it lacks.
 func (r *Router) handlePeerReachable(p *peer) {
 	p.jobsAllowed = true
 	if p.reachableSince.IsZero() {
@@ -188,9 +198,10 @@
 	r.sendMissingState(p)
 }
 
-// sendMissingState passes on what the peer lacks. A configuration goes out only once the peer
-// has had time to read it from the store, by one host after the other, and the
-// directory by holders only: both may be large, and there are many hosts.
+// sendMissingState sends the peer a configuration and a directory that are newer than
+// its own. Both may be large, and there are many hosts. Therefore the configuration is
+// sent only after the peer has had time to read it from the store, by one host after
+// another, and the directory is sent by holders only.
 func (r *Router) sendMissingState(p *peer) {
 	resendDue := r.now.Sub(p.configSentAt) >= stateResendInterval
 	if r.config != nil && p.configVersion < r.config.Version && (resendDue || p.sentConfigVersion < r.config.Version) && r.now.Sub(r.configAdoptedAt) >= r.configSendDelay() {
@@ -205,26 +216,26 @@
 }
 
 const (
-	// minConfigSendDelay is how long a peer has to read a configuration from the store:
-	// ten answers, and a pause of a host with a small processor share. With the
-	// stagger it stays below the time in which it must be in force (2 s).
+	// minConfigSendDelay is how long peers have to read a new configuration from the
+	// store. It covers ten answers of the store and a scheduling pause of a host with a
+	// small processor share. Together with the stagger it stays below the 2 s within
+	// which a configuration must be active everywhere.
 	minConfigSendDelay = 300 * time.Millisecond
-	// configSendStagger is what each further host waits for the one before it: a
+	// configSendStagger is the additional delay of each further host. It covers a
 	// heartbeat, which shows that the peer has the version.
-	configSendStagger = 100 * time.Millisecond
-	// maxConfigSendDelay bounds the wait.
+	configSendStagger  = 100 * time.Millisecond
 	maxConfigSendDelay = time.Second
-	// stateResendInterval is when something is sent once more to a peer that still lacks
-	// it.
+	// stateResendInterval is the delay before a configuration or directory is sent
+	// again to a peer that still lacks it.
 	stateResendInterval = 500 * time.Millisecond
-	// directoryResendInterval is the period at which hosts that would not hold the cell next
-	// are told of a changed directory: 80 KB for 540 targets take a quarter of a
-	// second on a link of 2.5 Mbit/s.
+	// directoryResendInterval is the interval at which a changed directory is sent to
+	// peers that are not hubs: the 80 KB of 540 targets take a quarter of a second on a
+	// link of 2.5 Mbit/s.
 	directoryResendInterval = 5 * time.Second
 )
 
-// configSendDelay returns how long after it has taken a configuration this host passes
-// it on: the first candidate first.
+// configSendDelay returns how long after adopting a configuration this host waits
+// before it sends it to peers. The strongest reachable host is first.
 func (r *Router) configSendDelay() time.Duration {
 	precedingHosts := 0
 	for _, p := range r.peers {
@@ -235,8 +246,8 @@
 	return min(minConfigSendDelay+time.Duration(precedingHosts)*configSendStagger, maxConfigSendDelay)
 }
 
-// watchPeers notes which peers have fallen silent, and forgets those that
-// have been for long.
+// watchPeers detects peers that have become unresponsive, ends the jobs of peers past
+// Bounds.OriginTimeout and removes peers past their expiry.
 func (r *Router) watchPeers() {
 	for _, p := range r.sortedPeers() {
 		if !p.reachableSince.IsZero() && !r.isReachable(p) {
@@ -263,8 +274,8 @@
 	}
 }
 
-// handleLinkOpened repeats what may have been lost with an earlier connection: offers to
-// the peer and verdicts for it. Both are taken once only.
+// handleLinkOpened repeats messages that may have been lost with a previous connection:
+// offers to the peer and verdicts for it. The receivers ignore duplicates.
 func (r *Router) handleLinkOpened(address string) {
 	p := r.peers[address]
 	if p == nil {
@@ -287,7 +298,8 @@
 	}
 }
 
-// handlePeerExited notes that a peer's process has gone, without waiting for its silence.
+// handlePeerExited records that a peer's process has exited, so that the peer counts as
+// unreachable without waiting for its timeout.
 func (r *Router) handlePeerExited(address string) {
 	p := r.peers[address]
 	if p == nil {
@@ -301,7 +313,8 @@
 	}
 }
 
-// removePeer drops a peer. The holder of its zone's cell also removes it from the store.
+// removePeer removes a peer. The holder of the peer's cell also removes the member from
+// the store.
 func (r *Router) removePeer(p *peer) {
 	delete(r.peers, p.member.Address)
 	r.emit(CloseLink{Address: p.member.Address})
@@ -311,7 +324,7 @@
 	}
 }
 
-// newHeartbeat returns what this host tells all near peers.
+// newHeartbeat returns the part of a heartbeat that is the same for all peers.
 func (r *Router) newHeartbeat() Heartbeat {
 	directoryAge := r.now.Sub(r.directoryReadAt)
 	if r.directoryReadAt.IsZero() {
@@ -327,5 +340,5 @@
 	}
 }
 
-// unreadDirectoryAge is the age of a directory that was not read yet.
+// unreadDirectoryAge is the age that is reported for a directory that was never read.
 const unreadDirectoryAge = 24 * time.Hour
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -11,16 +11,17 @@
 	"github.com/shallotrouter/shallotrouter/internal/holder"
 )
 
-// Router is the state of one entry host. The exported fields are set before the
-// first Step. It is not safe for concurrent use.
+// Router is the state of one entry host. The exported fields are set before the first
+// Step. A Router is not safe for concurrent use.
 type Router struct {
-	// Self is this process; its slot comes with Registered.
+	// Self is this process. Registered brings its slot.
 	Self Member
-	// Bounds are the limits.
+	// Bounds are the timeouts, intervals and limits.
 	Bounds Bounds
-	// Policy is how to queue and to refuse; the zero value serves best.
+	// Policy selects how jobs are queued and refused; the zero value is for normal
+	// operation.
 	Policy Policy
-	// Seeds are addresses of other entry hosts known from the start.
+	// Seeds are the addresses of other entry hosts that are known from the start.
 	Seeds []string
 
 	now       time.Time
@@ -28,58 +29,59 @@
 	effects   []Effect
 
 	config               *Config
-	configAdoptedAt      time.Time // when it was taken
+	configAdoptedAt      time.Time // when this host adopted config
 	directory            Directory
-	standbyUsedAt        map[string]time.Time       // when connections to a target were last used as a successor, by ID
-	lastStandbyUseAt     time.Time                  // when the last of them was
-	previousTargets      map[string]*previousTarget // targets of other hosts' lists, by ID
-	directoryReadAt      time.Time                  // when the directory was last read by this host
-	directoryRequestedAt time.Time                  // when it was last asked for
-	storeOutageSince     time.Time                  // when reads of the directory began to fail
-	storeReturnedAt      time.Time                  // when the store was back after its last long outage
+	standbyUsedAt        map[string]time.Time       // when the standby connections to a target were last used, by target ID
+	lastStandbyUseAt     time.Time                  // newest of these times
+	previousTargets      map[string]*previousTarget // targets from other hosts' lists or from replaced directories, by ID
+	directoryReadAt      time.Time                  // when this host requested the directory that it last read from the store
+	directoryRequestedAt time.Time                  // when this host last requested the directory
+	storeOutageSince     time.Time                  // when reads of the directory began to fail; zero while they succeed
+	storeReturnedAt      time.Time                  // when the store became available after its last long outage
 
-	slotUses                  int // tells this process's tokens from those of its earlier lives
-	generation                uint64
+	slotUses                  int              // count of the slot's uses; distinguishes the tokens of this incarnation from earlier ones
+	generation                uint64           // highest known generation
 	peers                     map[string]*peer // by address
-	maxLinkRate               int              // best known link of a host
-	totalTargets              int              // targets in the newest list that was heard of
-	totalTargetsVersion       uint64           // version of that list
-	lastHostLossAt            time.Time        // when a host was last found to be lost
+	maxLinkRate               int              // highest known link rate of a host, in kilobits a second
+	totalTargets              int              // number of targets in the newest known version of the directory
+	totalTargetsVersion       uint64           // that version
+	lastHostLossAt            time.Time        // when the loss of a host was last detected
 	zonesSplit                bool             // each zone has a holder of its own
-	hubs                      map[string]bool  // hosts that all others of the cells are near to, by address
-	fullMesh                  bool             // all hosts of the cells are near to each other
-	lastHeartbeatAt           time.Time        // last heartbeat sent
-	lastBackgroundHeartbeatAt time.Time        // last heartbeat sent to a peer that is not near
-	lastClaimChangeAt         time.Time        // when a claim last changed
+	hubs                      map[string]bool  // addresses of the hosts that all hosts of the cells monitor
+	fullMesh                  bool             // every host of the cells monitors every other
+	lastHeartbeatAt           time.Time        // when heartbeats were last sent to the monitored peers
+	lastBackgroundHeartbeatAt time.Time        // when a heartbeat was last sent to a background peer
+	lastClaimChangeAt         time.Time        // when a known claim last changed
 	cells                     map[string]*cell // by zone
-	pendingClaim              *pendingClaim    // the claim under way
+	pendingClaim              *pendingClaim    // claim that waits for the store; nil for none
 
-	openRequests  map[uint64]*request
-	requestsByJob map[string]*request // by job
+	openRequests  map[uint64]*request // by request number
+	requestsByJob map[string]*request // by job ID
 
 	jobs                map[string]*job
 	queue               holder.Heap[*job]
 	targets             map[string]*target
-	sortedTargets       []*target // the targets, by ID
-	endedJobs           []*job    // oldest first
-	unreportedTasks     map[string][]DoneTask
+	sortedTargets       []*target             // sorted by ID
+	endedJobs           []*job                // oldest first
+	unreportedTasks     map[string][]DoneTask // completed tasks that are not reported yet, by address of the job's host
 	routeModels         map[string]*history   // by route
 	kindSpeeds          map[string]*KindSpeed // by kind of target
 	meanWorkByRoute     map[string]float64    // mean work of a job, by route
 	routeShares         map[string]*share     // by route
-	learnedStateSentAt  time.Time             // when the others were last told
-	learnedStateSavedAt time.Time             // when it was last written to the store
-	placementNeeded     bool                  // something may be placed
-	targetLoad          float64               // load of the usable targets
-	// targetsReportProgress tells that targets tell the progress of runs.
+	learnedStateSentAt  time.Time             // when learned state was last sent to peers
+	learnedStateSavedAt time.Time             // when learned state was last saved to the store
+	placementNeeded     bool                  // an event may have made it possible to place a task
+	targetLoad          float64               // utilization of the usable targets
+	// targetsReportProgress is true once a target has reported the progress of a run.
 	targetsReportProgress bool
 
-	lostJobsDropAt map[string]time.Time // when the jobs of a lost cell are dropped, by zone
-	leavingSince   time.Time            // when the shutdown began
+	lostJobsDropAt map[string]time.Time // when to drop the jobs of a lost cell, by zone
+	leavingSince   time.Time            // when the shutdown began; zero before
 	halted         bool
 }
 
-// Step applies one event at a time that never goes back and returns the effects.
+// Step applies one event and returns the resulting effects. If now is earlier than in a
+// previous call, the previous time is used.
 func (r *Router) Step(now time.Time, e Event) []Effect {
 	r.effects = nil
 	r.init(now)
@@ -153,7 +155,7 @@
 	}
 }
 
-// handleClientEvent applies an event of a client of this host.
+// handleClientEvent applies an event that a client or operator of this host caused.
 func (r *Router) handleClientEvent(e Event) {
 	switch e := e.(type) {
 	case Submit:
@@ -169,7 +171,7 @@
 	}
 }
 
-// handleTick does what time brings about.
+// handleTick does the periodic work and checks all timeouts.
 func (r *Router) handleTick() {
 	r.watchPeers()
 	r.sendDueHeartbeats()
@@ -195,21 +197,21 @@
 // View is the part of the state that other goroutines read.
 type View struct {
 	Config *Config
-	// Ready tells whether the host serves: it has a configuration and reaches
-	// the holder of its zone's cell.
+	// Ready is true if the host can serve clients: it has a configuration, is not
+	// shutting down and reaches the holder of its zone's cell.
 	Ready bool
-	// Lingering tells that the host is shutting down.
+	// Lingering is true while the host shuts down.
 	Lingering bool
-	// Members are the hosts in touch, this one included, and HeldCells the cells of
-	// this host.
+	// Members counts the reachable hosts including this one, HeldCells the cells that
+	// this host holds.
 	Members, HeldCells int
-	// Waiting and Running count tasks of this host's cells.
+	// Waiting and Running count tasks of the cells that this host holds.
 	Waiting, Running int
-	// Open counts requests of this host's clients.
+	// Open counts the open requests of this host's clients.
 	Open int
-	// DirectoryAge is the time since this host read the list of targets.
+	// DirectoryAge is the time since this host last read the directory from the store.
 	DirectoryAge time.Duration
-	// LeaseMargin is the least time until a lease that something runs under lapses.
+	// LeaseMargin is the shortest time until the lease of a target with runs expires.
 	LeaseMargin time.Duration
 }
 
@@ -239,7 +241,7 @@
 	return view
 }
 
-// adoptConfig takes a configuration with a higher version.
+// adoptConfig replaces the configuration if c has a higher version.
 func (r *Router) adoptConfig(c *Config, source string) {
 	if c == nil || r.config != nil && c.Version <= r.config.Version {
 		return
@@ -249,7 +251,8 @@
 	r.emit(Decision{Action: "configure", Pairs: []any{"version", c.Version, "routes", len(c.Routes), "source", source}})
 }
 
-// dropRemovedRoutes drops what was learned of routes that the configuration lacks.
+// dropRemovedRoutes drops the learned state of routes that the configuration no longer
+// has.
 func (r *Router) dropRemovedRoutes() {
 	configured := make(map[string]bool, len(r.config.Routes))
 	for _, route := range r.config.Routes {
@@ -261,7 +264,8 @@
 	maps.DeleteFunc(r.routeModels, func(route string, _ *history) bool { return isRemoved(route) })
 }
 
-// taskName returns the name of a job's task; there is one step, without repeats.
+// taskName returns the name of a job's task at the targets. The two zeros are the
+// numbers of the step and of the repetition; a job has one of each.
 func taskName(job string, task int) string { return job + ".0.0." + strconv.Itoa(task) }
 
 // parseTaskName is the inverse of taskName.
@@ -274,7 +278,8 @@
 	return parts[0], task, err == nil
 }
 
-// sortedKeys returns a map's keys in order, so that steps repeat exactly.
+// sortedKeys returns the keys of a map in ascending order. Iterating in this order
+// keeps Step deterministic.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/router/sighting.go
+++ b/internal/router/sighting.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// previousTarget is a target that the host of a job has in its list. Its entry in the
-// store lapses while it cannot reach the store, though it may run tasks.
+// previousTarget is a target that a previous holder may have used and that the current
+// directory may lack. The store's entry of a target expires while the target cannot
+// reach the store, although its runs may continue.
 type previousTarget struct {
 	target     Target
 	reportedAt time.Time
 }
 
-// previousTargetRetention is how long a target that is not listed may still run what an
-// earlier holder started: the time in which entries come back after a cut (2 s)
-// and a lease.
+// previousTargetRetention is how long a target that is not listed may still execute
+// runs of a previous holder: the time until entries reappear after a partition (2 s)
+// plus a lease.
 const previousTargetRetention = 3 * time.Second
 
-// recordUnlistedTargets notes the targets of the list in force that a new one lacks.
+// recordUnlistedTargets records the targets of the current directory that d lacks as
+// previous targets.
 func (r *Router) recordUnlistedTargets(d Directory) {
 	listed := make(map[string]bool, len(d.Targets))
 	for _, t := range d.Targets {
@@ -30,7 +32,7 @@
 	}
 }
 
-// knownTargets returns the targets of some zones that this host knows of.
+// knownTargets returns the listed and previous targets of some zones.
 func (r *Router) knownTargets(zones []string) []Target {
 	list := slices.Clone(r.directory.Targets)
 	for _, id := range sortedKeys(r.previousTargets) {
@@ -39,8 +41,9 @@
 	return slices.DeleteFunc(list, func(t Target) bool { return !slices.Contains(zones, t.Zone) })
 }
 
-// handlePreviousTargets takes the list of another host. Targets of held cells are asked
-// what runs there, also those that this host's own list lacks.
+// handlePreviousTargets records the targets that another host knows as previous
+// targets. Those of held cells are asked for their runs, even if this host's directory
+// lacks them.
 func (r *Router) handlePreviousTargets(targets []Target) {
 	for _, t := range targets {
 		r.previousTargets[t.ID] = &previousTarget{target: t, reportedAt: r.now}
@@ -48,7 +51,8 @@
 	r.syncTargets()
 }
 
-// expirePreviousTargets drops what other hosts told long ago.
+// expirePreviousTargets drops previous targets that were reported longer than
+// previousTargetRetention ago.
 func (r *Router) expirePreviousTargets() {
 	for id, s := range r.previousTargets {
 		if r.now.Sub(s.reportedAt) > previousTargetRetention {
--- a/internal/router/standby.go
+++ b/internal/router/standby.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	// standbyUseInterval is how often a connection to a target is used that a successor keeps open:
-	// sooner than idle connections are closed.
+	// standbyUseInterval is the interval at which a standby connection is used. It is
+	// shorter than the time after which idle connections are closed.
 	standbyUseInterval = 15 * time.Second
-	// standbyOpenInterval spaces the opening of connections, each of which takes several times as
-	// much processor time as an order.
+	// standbyOpenInterval is the delay between opening connections to two targets.
+	// Opening a connection takes several times as much processor time as an order.
 	standbyOpenInterval = 40 * time.Millisecond
-	// standbyConnectionCount is how many connections to a target are kept open: one for a renewal
-	// that waits, and one for a start beside it.
+	// standbyConnectionCount is the number of connections that are kept open to a
+	// target: one for a waiting renewal, one for a start at the same time.
 	standbyConnectionCount = 2
-	// standbyTimeout bounds the opening of a connection and an answer: nothing waits for them.
+	// standbyTimeout bounds opening a connection and the answer on it. It is long
+	// because nothing waits for them.
 	standbyTimeout = time.Second
 )
 
-// maintainStandbyConnections keeps connections open to the targets of a cell that this host would hold next.
-// A takeover sends orders to all targets at once; opening the connections then would take
-// a small processor longer than the takeover itself.
+// maintainStandbyConnections keeps connections open to the targets of cells that this
+// host is a likely successor for. A takeover sends orders to all targets at once; with
+// a small processor share, opening the connections only then would take longer than the
+// rest of the takeover.
 func (r *Router) maintainStandbyConnections() {
 	if r.now.Sub(r.lastStandbyUseAt) < standbyOpenInterval || !r.isSuccessor() || !r.isEnabled(StandbyConnections) {
 		return
@@ -36,14 +38,16 @@
 	}
 }
 
-// isSuccessor reports whether this host would hold its zone's cell, or all cells, next. While
-// the cell lacks a holder there are more candidates, and connections are left as they are.
+// isSuccessor reports whether this host is a likely successor of the holder of its
+// zone's cell. It returns false while the cell lacks a holder: there are more
+// candidates then, and the standby connections are left as they are.
 func (r *Router) isSuccessor() bool {
 	c := r.cells[r.Self.Zone]
 	return c != nil && !c.heldHere && c.claim.Token > 0 && c.holderlessSince.IsZero() && r.hubs[r.Self.Address]
 }
 
-// dropUnlistedStandby drops targets that are listed no more.
+// dropUnlistedStandby closes the standby connections to targets that are no longer
+// listed.
 func (r *Router) dropUnlistedStandby() {
 	listed := make(map[string]bool, len(r.directory.Targets))
 	for _, entry := range r.directory.Targets {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// Inspect asks for the State; State answers it.
+// Inspect asks for the State, which answers it.
 type Inspect struct{ Request uint64 }
 
-// State is what a host believes, for operators. Times are in nanoseconds in JSON.
+// State is a snapshot of a host's state for operators. Durations are encoded in
+// nanoseconds in JSON.
 type State struct {
 	Request uint64 `json:"-"`
 	Host    string `json:"host"`
 	Zone    string `json:"zone"`
-	// Slot is the host's number in the store; 0 means that it is not registered yet.
+	// Slot is the host's number in the store; 0 means that the host is not registered
+	// yet.
 	Slot    int  `json:"slot"`
 	Leaving bool `json:"leaving"`
-	// Config is the version of the configuration in force, 0 for none.
+	// Config is the version of the current configuration; 0 means none.
 	Config uint64 `json:"config"`
-	// Directory is the version of the list of targets, TargetCount how many it names, and
-	// DirectoryAge the time since it was read; -1 means never.
+	// Directory is the version of the current directory, TargetCount the number of
+	// targets in it, and DirectoryAge the time since this host last read it from the
+	// store; -1 means never.
 	Directory    uint64        `json:"directory"`
 	TargetCount  int           `json:"listed"`
 	DirectoryAge time.Duration `json:"age"`
-	// Open counts requests of this host's clients; Waiting and Running count tasks of
-	// the cells that it holds.
+	// Open counts requests of this host's clients. Waiting and Running count tasks of
+	// the cells that this host holds.
 	Open    int           `json:"open"`
 	Waiting int           `json:"waiting"`
 	Running int           `json:"running"`
@@ -30,48 +33,50 @@
 	Targets []TargetState `json:"targets"`
 }
 
-// PeerState is another host.
+// PeerState is the state of another host.
 type PeerState struct {
 	Host      string `json:"host"`
 	Zone      string `json:"zone"`
 	Reachable bool   `json:"reached"`
 	Leaving   bool   `json:"leaving"`
-	// Age is the time since this host's own clock last came back; -1 means never.
+	// Age is the age of the newest time of this host's clock that the peer has echoed;
+	// -1 means none.
 	Age time.Duration `json:"age"`
 }
 
-// CellState is the targets of a zone as one unit.
+// CellState is the state of the cell of a zone.
 type CellState struct {
 	Zone   string `json:"zone"`
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
-	// Reachable tells that the holder is this host or reached, and Absent for how long it
-	// has not been.
+	// Reachable is true if this host is the holder or reaches it. Absent is how long
+	// the cell has lacked a holder.
 	Reachable bool          `json:"held"`
 	Absent    time.Duration `json:"absent"`
 }
 
-// TargetStatus tells whether a target is given tasks.
+// TargetStatus states whether a target is given tasks, or why not.
 type TargetStatus string
 
 const (
-	// Usable targets are given tasks, once no run is left there that no job claims.
+	// Usable targets are given tasks once they have no orphans.
 	Usable TargetStatus = "usable"
-	// Draining targets are leaving.
+	// Draining targets are about to leave.
 	Draining TargetStatus = "draining"
-	// Unlisted targets are not in the list of targets.
+	// Unlisted targets are not in the directory.
 	Unlisted TargetStatus = "unlisted"
-	// Unfenced targets have not answered under the holder's token yet.
+	// Unfenced targets have not accepted the holder's token yet.
 	Unfenced TargetStatus = "unfenced"
-	// Unresponsive targets have not answered lately.
+	// Unresponsive targets have not answered recently.
 	Unresponsive TargetStatus = "silent"
-	// Ejected targets fail, stand still or are slow; they are left out for a while.
+	// Ejected targets are given no tasks for a while because their runs fail, stall or
+	// are slow, or because they refused a task as unhealthy.
 	Ejected TargetStatus = "barred"
-	// OnTrial targets are on trial after that: one run at a time.
+	// OnTrial targets are on trial after an ejection: they are given one run at a time.
 	OnTrial TargetStatus = "tried"
 )
 
-// TargetState is a target of a cell that the host holds.
+// TargetState is the state of a target of a cell that the host holds.
 type TargetState struct {
 	ID       string       `json:"id"`
 	Zone     string       `json:"zone"`
@@ -80,16 +85,17 @@
 	Used     Resources    `json:"used"`
 	Capacity Resources    `json:"room"`
 	Runs     int          `json:"runs"`
-	// Age is the time since the last good answer was asked for; -1 means never.
+	// Age is the time since the newest order with a good answer was sent; -1 means
+	// none.
 	Age time.Duration `json:"age"`
-	// EjectedFor is for how long it is still left out.
+	// EjectedFor is the remaining time of the ejection.
 	EjectedFor time.Duration `json:"barred"`
 }
 
 func (Inspect) event() {}
 func (State) effect()  {}
 
-// handleInspect answers with what this host believes.
+// handleInspect answers with a snapshot of this host's state.
 func (r *Router) handleInspect(e Inspect) {
 	view := r.View()
 	state := State{
@@ -121,7 +127,7 @@
 	r.emit(state)
 }
 
-// ageOf returns the time since a moment, or -1 for none.
+// ageOf returns the time since a moment, or -1 for the zero time.
 func (r *Router) ageOf(at time.Time) time.Duration {
 	if at.IsZero() {
 		return -1
@@ -129,7 +135,7 @@
 	return r.now.Sub(at)
 }
 
-// targetStatus tells whether a target is given tasks, and the first reason why not.
+// targetStatus returns whether a target is given tasks, or the first reason why not.
 func (r *Router) targetStatus(t *target) TargetStatus {
 	switch {
 	case t.Draining:
