--- a/internal/router/claim_test.go
+++ b/internal/router/claim_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clusterBed is a router in zone north with peers in three zones, all of which are in touch
-// at first; a host of zone south holds all cells.
+// clusterBed is a router in zone north with peers in three zones. At first all peers
+// are reachable, and a host of zone south holds all cells.
 type clusterBed struct {
 	*originBed
 	peers map[string]Member
 }
 
-// newClusterBed returns a router with peers that are named by the first letter of their
-// zone and a number; s1 is the holder.
+// newClusterBed returns a router with the named peers. A name consists of the first
+// letter of the zone and a number; s1 is the holder.
 func newClusterBed(t *testing.T, names ...string) *clusterBed {
 	t.Helper()
 	b := &clusterBed{originBed: &originBed{now: time.Unix(testEpoch, 0)}, peers: make(map[string]Member)}
@@ -36,7 +36,7 @@
 	return b
 }
 
-// receiveHeartbeats brings a heartbeat of each peer.
+// receiveHeartbeats delivers a heartbeat from each named peer.
 func (b *clusterBed) receiveHeartbeats(leaving bool, names ...string) {
 	for _, name := range names {
 		m := b.peers[name]
@@ -44,7 +44,8 @@
 	}
 }
 
-// advanceWithHeartbeats lets time go by in which these peers alone are in touch.
+// advanceWithHeartbeats advances the time in ticks, in which only the named peers send
+// heartbeats, and returns the effects of the ticks.
 func (b *clusterBed) advanceWithHeartbeats(duration time.Duration, names ...string) []Effect {
 	var all []Effect
 	for end := b.now.Add(duration); b.now.Before(end); {
@@ -66,17 +67,19 @@
 	return zones
 }
 
-// TestSmallerSideOfCutClaimsOnlyOwnZone: the heartbeats of hosts behind a cut end at different times. The
-// smaller side claims no more than its own zone.
+// TestSmallerSideOfCutClaimsOnlyOwnZone: the heartbeats of the hosts behind a partition
+// stop at different times, so the smaller side may at first appear to be the larger
+// one. It must not hold more than the cell of its own zone in the end.
 func TestSmallerSideOfCutClaimsOnlyOwnZone(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1", "s2", "w1", "w2")
-	b.advanceWithHeartbeats(80*time.Millisecond, "n2", "n3", "s2", "w1", "w2") // the holder is heard of first to fall silent
+	b.advanceWithHeartbeats(80*time.Millisecond, "n2", "n3", "s2", "w1", "w2") // the holder's heartbeats stop first
 	require.NotEmpty(t, effectsOf[WriteClaims](b.advanceWithHeartbeats(b.router.Bounds.PeerTimeout, "n2", "n3")))
 	b.advanceWithHeartbeats(b.router.Bounds.PeerTimeout, "n2", "n3")
 	assert.Equal(t, []string{"north"}, b.heldZones())
 }
 
-// TestLargerSideOfCutClaimsWithoutStore: a host with most others goes on without the store.
+// TestLargerSideOfCutClaimsWithoutStore: a host that reaches most other hosts must take
+// over the cells even if the store does not answer.
 func TestLargerSideOfCutClaimsWithoutStore(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.advanceWithHeartbeats(b.router.Bounds.PeerTimeout+b.router.Bounds.TickInterval+claimTimeout, "n2", "n3", "s2", "w1", "w2")
@@ -84,8 +87,9 @@
 	assert.Equal(t, []string{"north", "south", "west"}, b.heldZones())
 }
 
-// TestLeftHostsDoNotGiveSmallerSideMajority: hosts that had left before a cut may be back behind it and do
-// not make the smaller side the larger one.
+// TestLeftHostsDoNotGiveSmallerSideMajority: hosts that had shut down before a
+// partition may have restarted behind it. Their absence must not make the smaller side
+// count as the larger one.
 func TestLeftHostsDoNotGiveSmallerSideMajority(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.receiveHeartbeats(true, "s2", "w2")
@@ -94,7 +98,9 @@
 	assert.Equal(t, []string{"north"}, b.heldZones())
 }
 
-// TestLeftHostsDoNotBlockClaimOfUnresponsiveHolder: with one host silent there is no cut.
+// TestLeftHostsDoNotBlockClaimOfUnresponsiveHolder: a single unresponsive host is no
+// sign of a partition, so hosts that have shut down must not count against the
+// majority.
 func TestLeftHostsDoNotBlockClaimOfUnresponsiveHolder(t *testing.T) {
 	b := newClusterBed(t, "n2", "s1", "s2")
 	b.receiveHeartbeats(true, "s2")
@@ -103,10 +109,11 @@
 	assert.Equal(t, []string{"north", "south", "west"}, b.heldZones())
 }
 
-// TestHolderOfMostCellsClaimsTheRest: of two holders in touch the one with more cells takes the rest.
+// TestHolderOfMostCellsClaimsTheRest: of two holders that reach each other, the one
+// with more cells must claim the others.
 func TestHolderOfMostCellsClaimsTheRest(t *testing.T) {
 	for heldCells, shouldClaim := range map[int]bool{1: false, 2: true} {
-		b := newClusterBed(t, "s1") // it comes first by its slot, too
+		b := newClusterBed(t, "s1") // it also comes first by its slot
 		b.router.Self.Slot = 99
 		for _, zone := range []string{"north", "west"}[:heldCells] {
 			b.router.acquireCell(b.router.cell(zone), 2<<(slotBits+slotUseBits)|99)
@@ -119,8 +126,9 @@
 	}
 }
 
-// TestReofferedJobStartsOnlyAfterTargetsArePolled: that a target obeyed this host before a job came from another
-// holder does not prove that the other has not used it since.
+// TestReofferedJobStartsOnlyAfterTargetsArePolled: a target that accepted this host's
+// token before a job arrived from another holder may have been used by that holder
+// since. The job must not start before the targets have been polled again.
 func TestReofferedJobStartsOnlyAfterTargetsArePolled(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	b.now = b.now.Add(10 * time.Millisecond)
@@ -130,16 +138,17 @@
 	effects := b.step(Receive{From: peer.Address, Message: Message{Offer: offer}})
 	assert.Empty(t, effectsOf[Start](effects))
 	polls := effectsOf[Renew](effects)
-	require.Len(t, polls, 2, "both are asked at once")
+	require.Len(t, polls, 2, "both targets are polled at once")
 	b.now = b.now.Add(3 * time.Millisecond)
 	assert.Empty(t, effectsOf[Start](b.answerRenewal(polls[0])))
 	assert.Len(t, effectsOf[Start](b.answerRenewal(polls[1])), 2)
 }
 
-// TestJobDoesNotStartInCellAcquiredLater: a job is not started in a cell that was taken after the job came. The
-// host of the job does not count that cell when another holder takes over.
+// TestJobDoesNotStartInCellAcquiredLater: a job must not start in a cell that was
+// acquired after the job arrived: the job's host does not count that cell among the
+// previous zones when another holder takes over.
 func TestJobDoesNotStartInCellAcquiredLater(t *testing.T) {
-	b := newHolderBed(t, 1, ClaimWon) // room for two tasks
+	b := newHolderBed(t, 1, ClaimWon) // its target has room for two tasks
 	wide := twoTaskJob("wide")
 	wide.Count, wide.Allowance = 3, 2*time.Second
 	require.Len(t, effectsOf[Start](b.step(Submit{Request: 1, Job: wide, Budget: 5 * time.Second})), 2)
@@ -163,8 +172,8 @@
 	assert.Equal(t, "z", starts[0].Target.ID)
 }
 
-// TestTakenOverRunningJobIsNotAborted: a job whose tasks all run is not given up while it is not
-// known what else an earlier holder may have started.
+// TestTakenOverRunningJobIsNotAborted: a job of which all tasks run must not be aborted
+// while it is unknown what else a previous holder has started.
 func TestTakenOverRunningJobIsNotAborted(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	b.router.previousTargets["gone"] = &previousTarget{target: Target{ID: "gone", Zone: "north"}, reportedAt: b.now}
@@ -180,8 +189,8 @@
 	assert.Zero(t, b.router.queue.Len())
 }
 
-// TestTokensAreUnique: no two hosts share a token, whatever their slots, lives and
-// generations; a token fits into the whole numbers that JSON carries exactly.
+// TestTokensAreUnique: no two processes may share a token, whatever their slots, slot
+// uses and generations. A token must stay below 2^53, so that it is exact in JSON.
 func TestTokensAreUnique(t *testing.T) {
 	seen := make(map[uint64]string)
 	for _, slot := range []int{1, 2, 1023, 1024, 1025, 2048, 65535} {
@@ -198,8 +207,9 @@
 	}
 }
 
-// TestClaimConfirmedAfterTimeoutIsAcquired: a claim that this host has given up for want of an answer may be written
-// to the store later. The other hosts then take it for the holder, so it has to act as one.
+// TestClaimConfirmedAfterTimeoutIsAcquired: a claim that timed out may still be written
+// to the store later. The other hosts then treat this host as the holder, so it must
+// hold the cell.
 func TestClaimConfirmedAfterTimeoutIsAcquired(t *testing.T) {
 	for _, source := range []string{"answer", "heartbeat"} {
 		b := newClusterBed(t, "n2", "n3", "s1", "s2", "s3", "w1", "w2")
@@ -211,7 +221,7 @@
 				}
 			}
 		}
-		require.NotZero(t, unanswered.Token, "the smaller side asks the store for cells that seem to lack a holder")
+		require.NotZero(t, unanswered.Token, "the smaller side writes claims for cells that seem to lack a holder")
 		b.advanceWithHeartbeats(time.Second, "n2", "n3")
 		require.NotContains(t, b.heldZones(), "south")
 		if source == "answer" {
@@ -225,25 +235,26 @@
 	}
 }
 
-// newRestartedBed returns a router that starts at the same time as the holder of all cells: the
-// store still names the holder's earlier process, and its heartbeat shows the next one. A
-// third host is known from the store only.
+// newRestartedBed returns a router that starts at the same time as the holder of all
+// cells. The store still names the previous incarnation of the holder, while its
+// heartbeat shows the next one. A third host with the given processor share is known
+// from the store only.
 func newRestartedBed(cpuShare int) *originBed {
 	b := &originBed{now: time.Unix(testEpoch, 0)}
 	b.router = &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 2, CPUShare: 100}, Bounds: Standard()}
 	b.step(Tick{})
 	b.now = b.now.Add(2 * b.router.Bounds.TickInterval)
 	holder := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1, CPUShare: 100}
-	third := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3, CPUShare: cpuShare}
+	thirdHost := Member{Name: "c", Zone: "north", Address: "10.0.0.3:1", Incarnation: 1, Slot: 3, CPUShare: cpuShare}
 	claim := Claim{Zone: "north", Token: 1 << (slotBits + slotUseBits), Holder: holder}
-	b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{holder, third}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
+	b.step(Registered{Slot: 2, SlotUses: 2, Members: []Member{holder, thirdHost}, Claims: []StoredClaim{{Claim: claim, Version: 7}}})
 	holder.Incarnation, holder.Slot = 2, 0 // it is not registered yet
 	b.step(Receive{From: holder.Address, Message: Message{Heartbeat: &Heartbeat{Member: holder, Sent: b.now.UnixNano(), Echo: b.now.UnixNano()}}})
 	return b
 }
 
-// TestRestartedHostClaimsAtOnceUnlessMuchWeaker: a host that knows the last holder to be dead claims at once,
-// unless a much stronger one may have started as well.
+// TestRestartedHostClaimsAtOnceUnlessMuchWeaker: a host that knows that the last holder
+// has exited must claim at once, unless a much stronger host may have started as well.
 func TestRestartedHostClaimsAtOnceUnlessMuchWeaker(t *testing.T) {
 	tick := Standard().TickInterval
 	for cpuShare, want := range map[int]time.Duration{100: tick, 300: Standard().StartupDelay/4 - 2*tick} {
@@ -254,12 +265,12 @@
 			b.now = b.now.Add(tick)
 			b.step(Tick{})
 		}
-		assert.Equal(t, want, elapsed, "power %d", cpuShare)
+		assert.Equal(t, want, elapsed, "processor share %d", cpuShare)
 	}
 }
 
-// TestClaimNamesRowVersionsFromHeartbeats: the holder's heartbeats tell which version of its row the next claim
-// has to name, so that the first one is not beaten.
+// TestClaimNamesRowVersionsFromHeartbeats: a claim must name the row versions from the
+// holder's heartbeats, so that it does not meet a conflict at the first attempt.
 func TestClaimNamesRowVersionsFromHeartbeats(t *testing.T) {
 	b := newClusterBed(t, "n2", "s1")
 	for _, zone := range []string{"north", "south", "west"} {
@@ -274,7 +285,8 @@
 	}
 }
 
-// TestHolderHeartbeatsNameRowVersions: a holder's heartbeats name the versions that its claim was given.
+// TestHolderHeartbeatsNameRowVersions: a holder's heartbeats must name the row versions
+// that the store gave to its claim.
 func TestHolderHeartbeatsNameRowVersions(t *testing.T) {
 	b := newClusterBed(t, "n2", "s1")
 	var writes []WriteClaims
--- a/internal/router/copy_test.go
+++ b/internal/router/copy_test.go
@@ -8,15 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// receiveHeartbeatFrom makes another host known to a bed's router and in touch with it.
+// receiveHeartbeatFrom delivers a heartbeat that makes another host known and
+// reachable.
 func (b *originBed) receiveHeartbeatFrom(address string) {
 	b.step(Receive{From: address, Message: Message{Heartbeat: &Heartbeat{
 		Member: Member{Name: "n", Zone: "north", Address: address, Incarnation: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
 	}}})
 }
 
-// TestRepeatedRefusedOfferDoesNotStart: an offer that comes once more over a link that was replaced
-// meanwhile does not start a job whose client has been told that it will not run.
+// TestRepeatedRefusedOfferDoesNotStart: an offer may arrive again over a link that was
+// replaced meanwhile. It must not start a job whose client has already been told that
+// the job was refused.
 func TestRepeatedRefusedOfferDoesNotStart(t *testing.T) {
 	const origin = "10.0.0.9:1"
 	b := newHolderBed(t, 1, ClaimWon)
@@ -26,7 +28,7 @@
 	require.Len(t, effectsOf[Start](b.step(Submit{Request: 1, Job: first, Budget: 9 * time.Second})), 2)
 
 	offer := &Offer{Job: twoTaskJob("second"), TimeLeft: 5 * time.Second, SubmissionID: 7}
-	offer.Job.ExpectedRunTime, offer.Job.Stretch, offer.Job.Allowance = 100*time.Millisecond, 1.1, 0 // no time to wait
+	offer.Job.ExpectedRunTime, offer.Job.Stretch, offer.Job.Allowance = 100*time.Millisecond, 1.1, 0 // it cannot wait for the first job
 	verdict := func(effects []Effect) *Verdict {
 		for _, e := range effectsOf[Send](effects) {
 			if e.Message.Verdict != nil {
@@ -39,7 +41,7 @@
 	require.NotNil(t, refused)
 	require.Equal(t, Refused, refused.Outcome)
 
-	b.step(ClientGone{Request: 1}) // there is room again
+	b.step(ClientGone{Request: 1}) // its runs are stopped, so there is room again
 	for _, task := range []string{"first.0.0.0", "first.0.0.1"} {
 		b.step(StopAnswered{Target: "p", Task: task, Run: 1, Acknowledged: true})
 	}
@@ -53,14 +55,15 @@
 	require.NotNil(t, repeated)
 	assert.Equal(t, Refused, repeated.Outcome)
 
-	later := *offer // the client sends the job once more
-	later.SubmissionID = 8
-	assert.Len(t, effectsOf[Start](b.step(Receive{From: origin, Message: Message{Offer: &later}})), 2)
+	resubmitted := *offer // the client submits the job again
+	resubmitted.SubmissionID = 8
+	assert.Len(t, effectsOf[Start](b.step(Receive{From: origin, Message: Message{Offer: &resubmitted}})), 2)
 }
 
-// TestPreviousTargetsAreResentOnNewLink: a new holder is told of an earlier one's targets over
-// each new link before the jobs, since what went into the link before may be lost. It
-// would start a job anew that runs at a target which it does not know.
+// TestPreviousTargetsAreResentOnNewLink: the previous targets must be sent to a new
+// holder on each new link, before the offers, since messages on the previous link may
+// be lost. Otherwise the holder would start a task that still runs at a target that it
+// does not know.
 func TestPreviousTargetsAreResentOnNewLink(t *testing.T) {
 	b := newOriginBed(t)
 	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 3, Targets: newTargets(2)}})
@@ -79,8 +82,8 @@
 	assert.Equal(t, []string{"former", "offer"}, kinds(b.step(LinkOpened{Address: b.peer.Address})))
 }
 
-// TestVerdictOfEarlierSubmissionIsIgnored: a verdict that was given on an earlier submission of a
-// job does not end the one that is open.
+// TestVerdictOfEarlierSubmissionIsIgnored: a verdict on an earlier submission of a job
+// must not end the open submission.
 func TestVerdictOfEarlierSubmissionIsIgnored(t *testing.T) {
 	b := newOriginBed(t)
 	b.step(Submit{Request: 1, Job: twoTaskJob("j"), Budget: 5 * time.Second})
--- a/internal/router/holder_test.go
+++ b/internal/router/holder_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holderBed is a router that holds its zone's cell, with targets of room for two
-// tasks each.
+// holderBed is a router that holds its zone's cell. Each of its targets has room for
+// two tasks.
 type holderBed struct {
 	*originBed
 	t *testing.T
 }
 
+// newTargets returns directory entries of targets with the IDs p, q, r and so on.
 func newTargets(count int) []Target {
 	var list []Target
 	for i := range count {
@@ -25,6 +26,8 @@
 	return list
 }
 
+// newHolderBed returns a router that has claimed the cell of zone north with the given
+// result and whose targets have accepted its token.
 func newHolderBed(t *testing.T, targets int, result ClaimResult) *holderBed {
 	t.Helper()
 	b := &holderBed{originBed: &originBed{now: time.Unix(testEpoch, 0)}, t: t}
@@ -55,7 +58,7 @@
 	return list
 }
 
-// answerRenewal answers a renewal with what runs and what has ended.
+// answerRenewal answers a renewal with a list of running tasks and no ends.
 func (b *holderBed) answerRenewal(e Renew, running ...RunningTask) []Effect {
 	return b.step(RenewAnswered{
 		Target: e.Target.ID, Token: e.Token, SentAt: b.now, Poll: e.Poll, Result: Running,
@@ -63,7 +66,7 @@
 	})
 }
 
-// advance lets time go by in ticks.
+// advance advances the time in ticks and returns all effects.
 func (b *holderBed) advance(d time.Duration) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
@@ -73,7 +76,8 @@
 	return all
 }
 
-// startTask submits a job of one task and has its start answered.
+// startTask submits a job of one task and answers the task's start. It returns the
+// start and the effects of the answer.
 func (b *holderBed) startTask(id string, result StartResult) (Start, []Effect) {
 	b.t.Helper()
 	j := twoTaskJob(id)
@@ -84,8 +88,8 @@
 	return starts[0], b.step(StartAnswered{Target: starts[0].Target.ID, Task: starts[0].Task, Run: starts[0].Run, Result: result})
 }
 
-// TestQuarantinedJobDoesNotDelayNewJob: a job that waits for an earlier holder's targets does
-// not count as work ahead of a new one that could start at once.
+// TestQuarantinedJobDoesNotDelayNewJob: a job that waits for the targets of a previous
+// holder must not count as work ahead of a new job that can start at once.
 func TestQuarantinedJobDoesNotDelayNewJob(t *testing.T) {
 	b := newHolderBed(t, 4, ClaimWon)
 	b.router.previousTargets["gone"] = &previousTarget{target: Target{ID: "gone", Zone: "north"}, reportedAt: b.now}
@@ -98,8 +102,8 @@
 	assert.Len(t, effectsOf[Start](effects), 2)
 }
 
-// TestOrphanLeasesAreNotExtended: runs that no job claims get no longer lease, and are
-// stopped by name.
+// TestOrphanLeasesAreNotExtended: renewals must not extend the lease of a target with
+// orphans, and the orphans must be stopped by name.
 func TestOrphanLeasesAreNotExtended(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	renews := effectsOf[Renew](b.advance(b.router.Bounds.IdleRenewInterval + b.router.Bounds.TickInterval))
@@ -115,9 +119,10 @@
 	assert.Equal(t, 3, stops[0].Run)
 }
 
-// TestUnansweredStartIsRepeatedAsSameRun: a start without an answer is ordered once more, as the same
-// run. When that is answered the run goes on; any other answer does not tell whether
-// the first order was carried out.
+// TestUnansweredStartIsRepeatedAsSameRun: a start without an answer must be sent again
+// as the same run. If the target then answers that the task runs, the run continues.
+// Any other answer leaves open whether the first order was executed, so the run must be
+// stopped.
 func TestUnansweredStartIsRepeatedAsSameRun(t *testing.T) {
 	for _, result := range []StartResult{Running, StaleRun, NoCapacity, OrderExpired, Unhealthy} {
 		b := newHolderBed(t, 2, ClaimWon)
@@ -137,8 +142,9 @@
 	}
 }
 
-// TestUnconfirmedStartIsStoppedBeforeRestart: a start that is not answered twice is stopped, and the task
-// starts elsewhere only when a list asked for after the stop lacks the run.
+// TestUnconfirmedStartIsStoppedBeforeRestart: a run whose start was twice not answered
+// must be stopped. Its task may start elsewhere only after a run list that was
+// requested after the stop lacks the run.
 func TestUnconfirmedStartIsStoppedBeforeRestart(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	first, effects := b.startTask("j", NoAnswer)
@@ -148,7 +154,7 @@
 	assert.Empty(t, effectsOf[Start](effects))
 	polls := effectsOf[Renew](effects)
 	require.NotEmpty(t, polls)
-	assert.Empty(t, effectsOf[Start](b.answerRenewal(polls[0])), "the list was asked for before the stop was answered")
+	assert.Empty(t, effectsOf[Start](b.answerRenewal(polls[0])), "the list was requested before the stop was answered")
 	b.now = b.now.Add(time.Millisecond)
 	effects = b.step(StopAnswered{Target: first.Target.ID, Task: first.Task, Run: first.Run, Acknowledged: true})
 	polls = effectsOf[Renew](effects)
@@ -159,8 +165,8 @@
 	assert.Greater(t, starts[0].Run, first.Run)
 }
 
-// TestStalledRunIsStopped: a run that makes no progress is stopped while its job can
-// still end in time elsewhere.
+// TestStalledRunIsStopped: a run without progress must be stopped while its job can
+// still finish in time at another target.
 func TestStalledRunIsStopped(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	first, _ := b.startTask("j", Running)
@@ -172,8 +178,8 @@
 	assert.Len(t, effectsOf[Stop](effects), 1)
 }
 
-// TestRunThatCannotFinishInTimeIsAborted: progress that shows that a job cannot end in time gives
-// its client the answer at once.
+// TestRunThatCannotFinishInTimeIsAborted: if progress shows that a job cannot finish in
+// time, its client must be answered at once.
 func TestRunThatCannotFinishInTimeIsAborted(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	first, _ := b.startTask("j", Running)
@@ -190,8 +196,8 @@
 	assert.Len(t, effectsOf[Stop](effects), 1)
 }
 
-// TestFencedHolderSendsNoOrders: a target that obeys a higher token takes the cell away;
-// nothing more is started, and no order goes to the zone's targets.
+// TestFencedHolderSendsNoOrders: a target that obeys a higher token shows that another
+// host has claimed the cell. No order may then go to the targets of the zone.
 func TestFencedHolderSendsNoOrders(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	first, _ := b.startTask("j", Running)
@@ -201,8 +207,9 @@
 	assert.Empty(t, effectsOf[Stop](b.advance(b.router.Bounds.TickInterval)))
 }
 
-// TestClaimIsWrittenAfterStoreOutage: a claim that was made while the store was away is
-// written once it is back, so that hosts that start anew go on from its token.
+// TestClaimIsWrittenAfterStoreOutage: a claim that was made during a store outage must
+// be written once the store answers again, so that hosts that start later continue from
+// its token.
 func TestClaimIsWrittenAfterStoreOutage(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimTimeout)
 	writes := effectsOf[WriteClaims](b.advance(time.Second))
@@ -212,8 +219,9 @@
 	assert.Empty(t, effectsOf[WriteClaims](b.advance(2*time.Second)))
 }
 
-// TestReacquiredCellDoesNotStartOldJobs: a host that loses a cell and claims it again at once starts
-// nothing of the jobs that it had: another host has had them meanwhile.
+// TestReacquiredCellDoesNotStartOldJobs: a host that loses a cell and claims it again
+// at once must not continue the jobs that it had: another host may have run them
+// meanwhile.
 func TestReacquiredCellDoesNotStartOldJobs(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	b.startTask("j", Running)
@@ -224,12 +232,12 @@
 	}}})
 	require.False(t, c.heldHere)
 	b.router.acquireCell(c, c.claim.Token+1<<20)
-	require.NotNil(t, b.router.jobs["j"], "it is offered anew")
+	require.NotNil(t, b.router.jobs["j"], "it is offered again")
 	assert.True(t, b.router.jobs["j"].reoffered)
 }
 
-// TestLargeJobsAreRefusedEarlier: under the same backlog a job with much work for
-// its route is refused while a usual one is taken.
+// TestLargeJobsAreRefusedEarlier: under the same backlog, a job with more work than is
+// usual for its route must be refused before a usual job is.
 func TestLargeJobsAreRefusedEarlier(t *testing.T) {
 	b := newHolderBed(t, 4, ClaimWon)
 	b.router.meanWorkByRoute["r"] = 2 * 0.1 * 1000
@@ -240,8 +248,8 @@
 	assert.LessOrEqual(t, b.router.waitWeight(largeJob), maxWaitWeight)
 }
 
-// TestCandidatesWithMoreCPUComeFirst: of two candidates the one with more processor comes first,
-// whatever their slots.
+// TestCandidatesWithMoreCPUComeFirst: the candidate with the larger processor share
+// must come first, whatever the slots.
 func TestCandidatesWithMoreCPUComeFirst(t *testing.T) {
 	b := newOriginBed(t)
 	b.peer.CPUShare, b.router.Self.CPUShare = 200, 800
@@ -251,8 +259,9 @@
 	assert.Equal(t, "a", list[0].Name)
 }
 
-// TestOfferFromUnreachableHostIsRejected: an offer that comes out of a cut, from a host that has not been
-// heard for long, starts nothing; its client may have been answered long ago.
+// TestOfferFromUnreachableHostIsRejected: an offer that was delayed by a partition,
+// from a host that is not reachable, must not start tasks: its client may have been
+// answered long ago.
 func TestOfferFromUnreachableHostIsRejected(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
@@ -264,8 +273,8 @@
 	assert.Equal(t, WrongHolder, effectsOf[Send](effects)[0].Message.Verdict.Outcome)
 }
 
-// TestResubmittedStartedJobIsNotRefused: a job of which tasks were started for an
-// earlier submission is not refused as not run, even if there is no room for it.
+// TestResubmittedStartedJobIsNotRefused: a job with tasks that were started for a
+// previous submission must not be refused as not run, even if there is no room for it.
 func TestResubmittedStartedJobIsNotRefused(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
@@ -285,13 +294,14 @@
 	assert.Equal(t, Unknown, sends[0].Message.Verdict.Outcome)
 }
 
-// TestDroppedJobDoesNotStartBesideItsOldRun: a holder that loses the cell of a job's host, but not
-// that of its target, and gets the job back does not start a task beside its own
-// run that is still being stopped, and does not call the job not run.
+// TestDroppedJobDoesNotStartBesideItsOldRun: a holder may lose the cell of a job's host
+// but keep that of the job's target, and then be offered the job again. It must not
+// start a task while its own previous run is being stopped, and must not report the job
+// as not run.
 func TestDroppedJobDoesNotStartBesideItsOldRun(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	first, _ := b.startTask("j", Running)
-	b.router.dropJobsOfZone("north") // as for a cell whose targets are not these
+	b.router.dropJobsOfZone("north") // as if a cell without these targets was lost
 	j := twoTaskJob("j")
 	j.Count = 1
 	effects := b.step(Submit{Request: 9, Job: j, Budget: 5 * time.Second})
@@ -300,8 +310,9 @@
 	assert.True(t, b.router.jobs["j"].mayHaveStartedEarlier)
 }
 
-// TestUnresponsiveTargetLeaseIsNotExtended: a target that does not answer gets no longer lease, so
-// that what ran there can start elsewhere once it has passed.
+// TestUnresponsiveTargetLeaseIsNotExtended: the lease of a target that does not answer
+// must not be extended, so that its tasks can start elsewhere once the lease has
+// expired.
 func TestUnresponsiveTargetLeaseIsNotExtended(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	bounds := b.router.Bounds
@@ -311,17 +322,17 @@
 	require.Len(t, starts, 1)
 	first := starts[0]
 	effects := b.step(StartAnswered{Target: first.Target.ID, Task: first.Task, Run: first.Run, Result: Running})
-	cut := b.now
+	cutAt := b.now
 	var restarts []Start
 	detectionDelay := bounds.RenewWait + bounds.RenewTimeout
-	for b.now.Sub(cut) < detectionDelay+bounds.LeaseDuration && len(restarts) == 0 {
+	for b.now.Sub(cutAt) < detectionDelay+bounds.LeaseDuration && len(restarts) == 0 {
 		var next []Effect
 		for _, e := range effectsOf[Renew](effects) {
 			if e.Target.ID != first.Target.ID {
 				next = append(next, b.answerRenewal(e)...)
 			}
 		}
-		unresponsive := b.now.Sub(cut) >= detectionDelay
+		unresponsive := b.now.Sub(cutAt) >= detectionDelay
 		if unresponsive {
 			for id, target := range b.router.targets {
 				if id == first.Target.ID && target.renewing {
@@ -331,19 +342,19 @@
 		}
 		for _, e := range effectsOf[Renew](next) {
 			if unresponsive && e.Target.ID == first.Target.ID {
-				assert.Zero(t, e.LeaseEnd, "after %v", b.now.Sub(cut))
+				assert.Zero(t, e.LeaseEnd, "after %v", b.now.Sub(cutAt))
 			}
 		}
 		effects = append(next, b.advance(bounds.TickInterval)...)
 		restarts = effectsOf[Start](effects)
 	}
-	require.Len(t, restarts, 1, "after %v", b.now.Sub(cut))
+	require.Len(t, restarts, 1, "after %v", b.now.Sub(cutAt))
 	assert.NotEqual(t, first.Target.ID, restarts[0].Target.ID)
 	assert.Greater(t, restarts[0].Run, first.Run)
 }
 
-// TestReportedProgressIsNotPolled: while other answers of a target show how far its
-// runs have come, none is asked for that alone.
+// TestReportedProgressIsNotPolled: while other answers of a target report the progress
+// of its runs, no poll may be sent for progress alone.
 func TestReportedProgressIsNotPolled(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	first, _ := b.startTask("j", Running)
@@ -360,30 +371,33 @@
 	assert.Zero(t, polls)
 }
 
-// TestAnsweredPollShowsTargetIsHealthy: while a renewal or a look waits in vain for its answer, others are
-// sent, and one that is answered shows that the target is sound.
+// TestAnsweredPollShowsTargetIsHealthy: while a renewal or a poll waits for an answer
+// that was lost, further polls must be sent. One that is answered shows that the target
+// is healthy, so losing the answer to an older poll must not make it unresponsive;
+// losing the answer to a newer renewal must.
 func TestAnsweredPollShowsTargetIsHealthy(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
-	first, _ := b.startTask("j", Running)
+	start, _ := b.startTask("j", Running)
 	var polls []Renew
 	for _, e := range effectsOf[Renew](b.advance(3 * minProgressPollDelay)) {
 		if e.Poll {
 			polls = append(polls, e)
 		}
 	}
-	require.GreaterOrEqual(t, len(polls), 2, "the first look was lost")
-	b.answerRenewal(polls[1], RunningTask{Task: first.Task, Run: first.Run, Percent: 50})
-	target := b.router.targets[first.Target.ID]
-	b.step(RenewAnswered{Target: first.Target.ID, Token: first.Token, SentAt: b.now.Add(-minProgressPollDelay), Result: NoAnswer, Poll: true})
+	require.GreaterOrEqual(t, len(polls), 2, "a poll that is not answered is followed by another")
+	b.answerRenewal(polls[1], RunningTask{Task: start.Task, Run: start.Run, Percent: 50})
+	target := b.router.targets[start.Target.ID]
+	b.step(RenewAnswered{Target: start.Target.ID, Token: start.Token, SentAt: b.now.Add(-minProgressPollDelay), Result: NoAnswer, Poll: true})
 	assert.Zero(t, target.missedRenewals)
 	assert.True(t, b.router.isUsable(target))
 	b.now = b.now.Add(time.Millisecond)
-	b.step(RenewAnswered{Target: first.Target.ID, Token: first.Token, SentAt: b.now, Result: NoAnswer})
+	b.step(RenewAnswered{Target: start.Target.ID, Token: start.Token, SentAt: b.now, Result: NoAnswer})
 	assert.False(t, b.router.isUsable(target))
 }
 
-// TestUnlistedTargetsAreRetainedAfterCut: a holder that was cut off with its targets keeps using them when
-// the others, whose list lacks them, are back; for a while only.
+// TestUnlistedTargetsAreRetainedAfterCut: a holder that was partitioned off with its
+// targets must keep using them when it reaches other hosts again whose directory lacks
+// them, but only for a limited time.
 func TestUnlistedTargetsAreRetainedAfterCut(t *testing.T) {
 	b := newHolderBed(t, 3, ClaimWon)
 	peer := Member{Name: "b", Zone: "south", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
@@ -403,8 +417,8 @@
 	assert.Empty(t, b.router.directory.Targets)
 }
 
-// TestPeerDirectoryIsAdoptedDuringStoreOutage: a host that does not reach the store, but others all along,
-// takes their list as it is.
+// TestPeerDirectoryIsAdoptedDuringStoreOutage: a host that does not reach the store but
+// has reached a peer all along must adopt that peer's directory unchanged.
 func TestPeerDirectoryIsAdoptedDuringStoreOutage(t *testing.T) {
 	b := newHolderBed(t, 3, ClaimWon)
 	peer := Member{Name: "b", Zone: "south", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
@@ -418,8 +432,9 @@
 	assert.Empty(t, b.router.directory.Targets)
 }
 
-// TestFailedTrialsLengthenEjection: a target whose trials fail is left out longer each time, up to a
-// bound, and no longer than at first once a run has succeeded.
+// TestFailedTrialsLengthenEjection: a target whose trials fail must be ejected for
+// longer each time, up to a bound. After a successful run the first duration applies
+// again.
 func TestFailedTrialsLengthenEjection(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	target := b.router.sortedTargets[0]
@@ -427,19 +442,19 @@
 	for range 5 {
 		b.router.ejectTarget(target, time.Second, "failing")
 		ejections = append(ejections, target.ejectedUntil.Sub(b.now))
-		b.router.ejectTarget(target, time.Second, "failing") // a second run of the same time
+		b.router.ejectTarget(target, time.Second, "failing") // a second failed run of the same ejection
 		b.now = target.ejectedUntil
 		b.router.now = b.now
 	}
 	assert.Equal(t, []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second, 4 * time.Second}, ejections)
 	b.router.ejectTarget(target, time.Second, "failing")
-	b.router.updateTargetHealth(&run{target: target}, EndDone) // a run that had begun before
+	b.router.updateTargetHealth(&run{target: target}, EndDone) // a run that was started before the ejection
 	b.router.ejectTarget(target, time.Second, "failing")
 	assert.Equal(t, time.Second, target.ejectedUntil.Sub(b.now))
 }
 
-// TestDoneTaskIsReportedBeforeItsEndIsAcknowledged: the host of a job is told of a task that is done before its
-// target may forget it.
+// TestDoneTaskIsReportedBeforeItsEndIsAcknowledged: a done task must be reported to the
+// job's host before the target may forget the end of its run.
 func TestDoneTaskIsReportedBeforeItsEndIsAcknowledged(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	peer := Member{Name: "b", Zone: "north", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
--- a/internal/router/reborn_test.go
+++ b/internal/router/reborn_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRestartedTargetLosesOnlyOldRuns: a target starts again under its ID. What ran before is over;
-// what was started in its new life, before this host knew of that, goes on.
+// TestRestartedTargetLosesOnlyOldRuns: when a target restarts under its ID, its earlier
+// runs are over. Runs that were started in its new incarnation, before this host knew
+// of the restart, must continue.
 func TestRestartedTargetLosesOnlyOldRuns(t *testing.T) {
 	const oldStartedAt, newStartedAt = 1_000, 2_000
 	for _, listed := range []bool{true, false} {
@@ -23,21 +24,21 @@
 		b.now = b.now.Add(50 * time.Millisecond)
 		requestedAt := b.now
 		b.now = b.now.Add(10 * time.Millisecond)
-		fresh, _ := b.startTask("fresh", Running) // by the new life
+		fresh, _ := b.startTask("fresh", Running) // in the new incarnation
 		answer := RenewAnswered{Target: old.Target.ID, Token: old.Token, SentAt: requestedAt, Result: Running, StartedAt: newStartedAt, Clock: Reading{Millis: 30, At: b.now}}
 		if listed {
 			answer.Running = []RunningTask{{Task: fresh.Task, Run: fresh.Run}}
 		}
 		effects = b.step(answer)
-		require.Len(t, effectsOf[Start](effects), 1, "the old run is started anew, listed %t", listed)
+		require.Len(t, effectsOf[Start](effects), 1, "the old task is started again, listed %t", listed)
 		assert.Equal(t, old.Task, effectsOf[Start](effects)[0].Task)
 		assert.Empty(t, effectsOf[Stop](effects))
 		assert.NotNil(t, b.router.targets[fresh.Target.ID].runs[fresh.Task], "listed %t", listed)
 	}
 }
 
-// TestTargetRestartInDirectoryTriggersPoll: when the list of targets tells of a new life, the target is
-// asked what runs there.
+// TestTargetRestartInDirectoryTriggersPoll: when the directory shows a new incarnation
+// of a target, the target must be polled for its runs.
 func TestTargetRestartInDirectoryTriggersPoll(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	list := newTargets(1)
--- a/internal/router/standby_test.go
+++ b/internal/router/standby_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// countWarmUps returns how often connections to each target are opened or used ahead.
+// countWarmUps returns the number of WarmUp effects by target ID.
 func countWarmUps(effects []Effect) map[string]int {
 	count := make(map[string]int)
 	for _, e := range effectsOf[WarmUp](effects) {
@@ -16,8 +16,8 @@
 	return count
 }
 
-// TestSuccessorKeepsStandbyConnections: a host that would hold the cell next opens connections to its targets, a
-// few at a time, and keeps them open.
+// TestSuccessorKeepsStandbyConnections: a likely successor must open connections to the
+// targets of the cell, one target at a time, and keep them open.
 func TestSuccessorKeepsStandbyConnections(t *testing.T) {
 	b := newClusterBed(t, "n2", "s1")
 	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 1, Targets: newTargets(5)}})
@@ -32,11 +32,11 @@
 	assert.Len(t, b.router.standbyUsedAt, 4)
 }
 
-// TestOnlySuccessorsKeepStandbyConnections: neither the holder nor hosts far behind in line keep
-// connections open.
+// TestOnlySuccessorsKeepStandbyConnections: neither the holder nor hosts that are
+// unlikely successors may keep standby connections.
 func TestOnlySuccessorsKeepStandbyConnections(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1")
-	b.router.Self.Slot = 99 // n2 and n3 come first
+	b.router.Self.Slot = 99 // n2 and n3 are the likely successors
 	b.advanceWithHeartbeats(b.router.Bounds.HeartbeatInterval, "n2", "n3", "s1")
 	b.step(DirectoryRead{RequestedAt: b.now, Directory: Directory{Version: 1, Targets: newTargets(5)}})
 	assert.Empty(t, countWarmUps(b.advanceWithHeartbeats(time.Second, "n2", "n3", "s1")))
--- a/internal/router/state_test.go
+++ b/internal/router/state_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestInspectReportsTargetStatuses: a holder tells what it believes, and why it uses a target or does not.
+// TestInspectReportsTargetStatuses: a holder must report its state and, for each
+// target, whether it is given tasks or why not.
 func TestInspectReportsTargetStatuses(t *testing.T) {
 	b := newHolderBed(t, 8, ClaimWon)
 	b.startTask("j", Running)
@@ -40,7 +41,8 @@
 	assert.Equal(t, 1, runs)
 }
 
-// TestInspectOfNewHostReportsNothingKnown: a host that has only started knows nothing yet.
+// TestInspectOfNewHostReportsNothingKnown: a host that has just started must report
+// that it has no slot, directory or holder.
 func TestInspectOfNewHostReportsNothingKnown(t *testing.T) {
 	r := &Router{Self: Member{Name: "a", Zone: "north", Address: "10.0.0.1:1", Incarnation: 1}, Bounds: Standard()}
 	states := effectsOf[State](r.Step(time.Unix(testEpoch, 0), Inspect{Request: 1}))
@@ -50,8 +52,8 @@
 	assert.False(t, states[0].Cells[0].Reachable)
 }
 
-// TestEachStageIsMeasuredOnce: each stage of a job's way is measured once, and the margin of the lease
-// that it runs under is told.
+// TestEachStageIsMeasuredOnce: each stage of a job must be measured exactly once, and
+// the view must show the lease margin of its run.
 func TestEachStageIsMeasuredOnce(t *testing.T) {
 	b := newHolderBed(t, 1, ClaimWon)
 	j := twoTaskJob("j")
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTwoZoneDirectory returns a list of so many targets in each of two zones.
+// newTwoZoneDirectory returns a directory with targetsPerZone targets in each of two
+// zones.
 func newTwoZoneDirectory(targetsPerZone int) Directory {
 	d := Directory{Version: 5}
 	for _, zone := range []string{"north", "south"} {
@@ -19,7 +20,8 @@
 	return d
 }
 
-// receiveDirectoryHeartbeat brings a heartbeat of a host of another zone, in touch.
+// receiveDirectoryHeartbeat delivers a heartbeat that makes a host reachable and names
+// its directory version and target count.
 func (b *originBed) receiveDirectoryHeartbeat(zone, address string, directory uint64, total int) []Effect {
 	return b.step(Receive{From: address, Message: Message{Heartbeat: &Heartbeat{
 		Member: Member{Name: address, Zone: zone, Address: address, Incarnation: 5, Slot: 9}, Sent: 1, Echo: b.now.UnixNano(),
@@ -27,9 +29,9 @@
 	}}})
 }
 
-// TestSplitZoneHostKeepsOnlyItsTargets: where each zone has its own holder, a host keeps the targets of its
-// zone, passes them on within the zone only, and does not take the list of another zone
-// for its own.
+// TestSplitZoneHostKeepsOnlyItsTargets: if each zone has a holder of its own, a host
+// must keep only the targets of its zone, send them only to hosts of the zone, and not
+// adopt the directory of another zone.
 func TestSplitZoneHostKeepsOnlyItsTargets(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	count := b.router.Bounds.MaxSharedTargets
@@ -55,9 +57,9 @@
 	assert.Equal(t, "north", b.router.directory.Targets[0].Zone)
 }
 
-// TestTargetCountFromHeartbeatSplitsZones: a host that has no list yet learns from heartbeats that each zone
-// has a holder of its own, and then reads the list itself although a host of another
-// zone has read it.
+// TestTargetCountFromHeartbeatSplitsZones: a host with an outdated directory must learn
+// from heartbeats that each zone has a holder of its own. It must then read the
+// directory itself, even if a host of another zone has read it.
 func TestTargetCountFromHeartbeatSplitsZones(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
 	assert.False(t, b.router.zonesSplit)
