--- a/internal/router/bounds.go
+++ b/internal/router/bounds.go
@@ -92,8 +92,8 @@
 	// so that orders to unresponsive targets delay other orders for less time.
 	OrderWindow time.Duration
 	// MaxSharedTargets is the number of targets up to which one host holds all cells.
-	// It is about three times the 48 targets of a deployment, which take an eighth of a
-	// core.
+	// It is about three times the 48 targets of a deployment for which one host needs
+	// an eighth of a core.
 	MaxSharedTargets int
 }
 
--- a/internal/router/check.go
+++ b/internal/router/check.go
@@ -52,16 +52,16 @@
 	return nil
 }
 
-func (b *Heartbeat) check() error {
-	if b.Generation >= maxGeneration {
-		return &MalformedError{"the generation", fmt.Sprint(b.Generation)}
+func (h *Heartbeat) check() error {
+	if h.Generation >= maxGeneration {
+		return &MalformedError{"the generation", fmt.Sprint(h.Generation)}
 	}
-	for _, c := range b.Claims {
+	for _, c := range h.Claims {
 		if generationOf(c.Token) >= maxGeneration {
 			return &MalformedError{"the token of a claim", fmt.Sprint(c.Token)}
 		}
 	}
-	return checkLearnedState(b.Routes, b.Speeds)
+	return checkLearnedState(h.Routes, h.Speeds)
 }
 
 // checkLearnedState checks learned state that was received from another host.
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -45,7 +45,7 @@
 }
 
 // targetTrafficKbps is the network traffic that one target causes at its holder, in
-// kilobits a second: eight starts of 1 KB a second and their answers.
+// kilobits a second. It covers eight starts a second, of 1 KB each, with their answers.
 const targetTrafficKbps = 100
 
 // updateZonesSplit decides whether each zone has a holder of its own. This is so if the
@@ -170,16 +170,16 @@
 // of these peers reaches its holder. Then either all hosts have just started or the
 // holder is unresponsive.
 func (r *Router) isNoHolderReached() bool {
-	noneReachable := true
+	noPeerReachable := true
 	for _, p := range r.peers {
 		if p.monitored && r.isReachable(p) {
-			noneReachable = false
+			noPeerReachable = false
 			if p.reachesHolder {
 				return false
 			}
 		}
 	}
-	return !noneReachable
+	return !noPeerReachable
 }
 
 // shouldMerge reports whether this host should take a cell from a holder that is
@@ -227,8 +227,8 @@
 }
 
 // isLongHolderless reports whether a cell has lacked a holder for so long that no other
-// host seems able to claim it. Then a host may claim it without a majority; the store
-// resolves conflicts.
+// host seems able to claim it. Then a host may claim the cell without a majority, but
+// holds it only if the store writes the claim.
 func (r *Router) isLongHolderless(c *cell) bool {
 	return !c.holderlessSince.IsZero() && r.now.Sub(c.holderlessSince) >= 3*r.Bounds.PeerTimeout
 }
@@ -298,10 +298,11 @@
 	return r.now.Sub(at).Round(time.Millisecond).String()
 }
 
-// checkClaimTimeout ends a claim that the store has not answered in time. With a
-// majority of hosts this host then holds the cells without the store. This is safe
-// because targets obey only the highest token: two hosts that do so cannot both start
-// tasks at one target.
+// checkClaimTimeout ends a claim that the store has not answered in time. While the
+// last echo of a peer is stale, it waits until Bounds.PeerTimeout. With a majority of
+// hosts this host then holds the cells without the store. This is safe because targets
+// obey only the highest token: two hosts that do so cannot both start tasks at one
+// target.
 func (r *Router) checkClaimTimeout() {
 	age := r.now.Sub(r.pendingClaim.startedAt)
 	if age < claimTimeout || age < r.Bounds.PeerTimeout && r.hasStalePeer() {
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleDirectoryReadFailed records the begin of a store outage.
+// handleDirectoryReadFailed records the start of a store outage.
 func (r *Router) handleDirectoryReadFailed() {
 	if r.storeOutageSince.IsZero() {
 		r.storeOutageSince = r.now
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -104,8 +104,8 @@
 		return
 	}
 	p := r.peers[e.From]
-	if b := e.Message.Heartbeat; b != nil {
-		r.handleHeartbeat(p, b)
+	if heartbeat := e.Message.Heartbeat; heartbeat != nil {
+		r.handleHeartbeat(p, heartbeat)
 		return
 	}
 	if p == nil {
--- a/internal/router/sighting.go
+++ b/internal/router/sighting.go
@@ -54,8 +54,8 @@
 // expirePreviousTargets drops previous targets that were reported longer than
 // previousTargetRetention ago.
 func (r *Router) expirePreviousTargets() {
-	for id, s := range r.previousTargets {
-		if r.now.Sub(s.reportedAt) > previousTargetRetention {
+	for id, previous := range r.previousTargets {
+		if r.now.Sub(previous.reportedAt) > previousTargetRetention {
 			delete(r.previousTargets, id)
 		}
 	}
