--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -183,9 +183,12 @@
 }
 
 // shouldMerge reports whether this host should take a cell from a holder that is
-// reachable. The preferred holder is the host that holds the most cells, unless it is
-// much weaker than the best candidate, so that the fewest targets change their holder.
-// The two hosts must have been reachable to each other for Bounds.MergeDelay.
+// reachable, because this host is the preferred one. If one host holds all cells, the
+// host with the most cells is preferred, unless it is much weaker than the best
+// candidate, so that the fewest targets change their holder. If each zone has a holder
+// of its own, the best host of the zone is preferred, unless the holder belongs to the
+// zone and is not much weaker. The two hosts must have been reachable to each other for
+// Bounds.MergeDelay.
 func (r *Router) shouldMerge(c *cell, candidates []Member) bool {
 	preferred := candidates[0]
 	if !r.zonesSplit {
