--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver runs one router: it owns the goroutine that steps it, brings
-// events in and carries effects out.
+// Package driver runs one router: its goroutine passes events to the router and
+// executes the effects that the router returns.
 package driver
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// queueLength bounds the events that wait for the router.
-const queueLength = 16384
+// maxQueuedEvents is the capacity of the router's event queue; Put blocks beyond it.
+const maxQueuedEvents = 16384
 
-// viewEvery is the period at which the view is made anew. Readiness is asked for
-// once a second.
-const viewEvery = 50 * time.Millisecond
+// viewInterval is the shortest time between two updates of the view, apart from those that
+// follow a new configuration. Readiness is part of the view and is probed once a second.
+const viewInterval = 50 * time.Millisecond
 
-// Links carry messages to other hosts. No method blocks.
+// Links sends messages to other hosts. No method blocks.
 type Links interface {
 	Dial(address string)
 	CloseLink(address string)
@@ -32,7 +32,7 @@
 	Send(address string, m router.Message)
 }
 
-// Targets carry orders. No method blocks; each order is answered by one event.
+// Targets sends orders to targets. No method blocks; each order is answered by one event.
 type Targets interface {
 	Start(router.Start)
 	Stop(router.Stop)
@@ -41,7 +41,7 @@
 	CloseIdle(router.CloseIdle)
 }
 
-// Store reaches the platform's store. No method blocks.
+// Store sends requests to the platform's store. No method blocks.
 type Store interface {
 	// WriteClaims is answered by router.ClaimsWritten.
 	WriteClaims(router.WriteClaims)
@@ -51,7 +51,7 @@
 	RemoveMember(router.Member)
 }
 
-// Driver joins a router with its transports. Its exported fields are set before
+// Driver connects a router with its transports. Its exported fields are set before
 // Run. Its methods are safe for concurrent use.
 type Driver struct {
 	Router   *router.Router
@@ -63,31 +63,31 @@
 	Targets  Targets
 	Store    Store
 
-	events  chan router.Event
-	done    chan struct{}
-	number  atomic.Uint64
-	mutex   sync.Mutex
-	waiters map[uint64]chan router.Effect
-	view    atomic.Pointer[router.View]
-	viewed  time.Time
+	events        chan router.Event
+	done          chan struct{}
+	lastRequest   atomic.Uint64
+	mutex         sync.Mutex
+	waiters       map[uint64]chan router.Effect
+	view          atomic.Pointer[router.View]
+	viewUpdatedAt time.Time
 }
 
-// Init makes the Driver ready; it comes before Run, Put and the requests.
+// Init prepares the Driver. It must be called before every other method.
 func (d *Driver) Init() {
-	d.events = make(chan router.Event, queueLength)
+	d.events = make(chan router.Event, maxQueuedEvents)
 	d.done = make(chan struct{})
 	d.waiters = make(map[uint64]chan router.Effect)
 	d.view.Store(&router.View{})
 }
 
-// Run steps the router until it halts or the context is done.
+// Run passes events to the router until the router halts or the context is done.
 func (d *Driver) Run(ctx context.Context) {
 	defer close(d.done)
 	d.loop(ctx)
 }
 
-// Put hands over one event. It blocks while the queue is full, and drops the
-// event once the router has halted.
+// Put queues an event for the router. It blocks while the queue is full, and drops the
+// event once Run has returned.
 func (d *Driver) Put(e router.Event) {
 	select {
 	case d.events <- e:
@@ -95,10 +95,10 @@
 	}
 }
 
-// Done is closed once the router has halted.
+// Done returns a channel that is closed when Run returns.
 func (d *Driver) Done() <-chan struct{} { return d.done }
 
-// View returns the newest view. It must not be changed.
+// View returns the newest view. Callers must not change it.
 func (d *Driver) View() *router.View { return d.view.Load() }
 
 func (d *Driver) loop(ctx context.Context) {
@@ -119,14 +119,15 @@
 	}
 }
 
-// step applies one event and reports whether the router has halted.
+// step passes one event to the router, executes the effects and reports whether the router
+// has halted.
 func (d *Driver) step(e router.Event) bool {
 	now := d.Clock.Now()
 	effects := d.Router.Step(now, e)
 	d.Meter.Steps.Observe(d.Clock.Since(now).Seconds())
 	_, adopted := e.(router.Adopt)
-	if adopted || now.Sub(d.viewed) >= viewEvery {
-		d.viewed = now
+	if adopted || now.Sub(d.viewUpdatedAt) >= viewInterval {
+		d.viewUpdatedAt = now
 		v := d.Router.View()
 		d.view.Store(&v)
 		d.Meter.Show(v)
@@ -137,27 +138,26 @@
 			halted = true
 			continue
 		}
-		d.carry(now, effect)
+		d.execute(now, effect)
 	}
 	return halted
 }
 
-// carry carries out one effect.
-func (d *Driver) carry(now time.Time, effect router.Effect) {
+func (d *Driver) execute(now time.Time, effect router.Effect) {
 	switch e := effect.(type) {
 	case router.Answer:
 		d.Meter.Answers.WithLabelValues(string(e.Verdict.Outcome), string(e.Verdict.Reason)).Inc()
-		d.answer(e.Request, e)
+		d.deliver(e.Request, e)
 	case router.Cancelled:
-		d.answer(e.Request, e)
+		d.deliver(e.Request, e)
 	case router.OpenJobs:
-		d.answer(e.Request, e)
+		d.deliver(e.Request, e)
 	case router.State:
-		d.answer(e.Request, e)
+		d.deliver(e.Request, e)
 	case router.Send, router.Dial, router.CloseLink, router.Redial:
-		d.link(e)
+		d.executeLinkEffect(e)
 	case router.Start, router.Stop, router.Renew, router.WarmUp, router.CloseIdle:
-		d.order(e)
+		d.executeTargetEffect(e)
 	case router.WriteClaims:
 		d.Store.WriteClaims(e)
 	case router.ReadDirectory:
@@ -169,9 +169,9 @@
 	case router.Decision:
 		d.Meter.Decisions.WithLabelValues(e.Action).Inc()
 		if e.Routine {
-			d.Throttle.Routine(now, e.Action, pairs(e)...)
+			d.Throttle.Routine(now, e.Action, logPairs(e)...)
 		} else {
-			d.Throttle.Info(now, e.Action, pairs(e)...)
+			d.Throttle.Info(now, e.Action, logPairs(e)...)
 		}
 	case router.StageDuration:
 		d.Meter.Stages.WithLabelValues(e.Route, string(e.Stage)).Observe(e.Duration.Seconds())
@@ -181,8 +181,7 @@
 	}
 }
 
-// link carries out an effect on the links to other hosts.
-func (d *Driver) link(effect router.Effect) {
+func (d *Driver) executeLinkEffect(effect router.Effect) {
 	switch e := effect.(type) {
 	case router.Send:
 		d.Links.Send(e.To, e.Message)
@@ -197,8 +196,7 @@
 	}
 }
 
-// order carries out an effect on a target.
-func (d *Driver) order(effect router.Effect) {
+func (d *Driver) executeTargetEffect(effect router.Effect) {
 	switch e := effect.(type) {
 	case router.Start:
 		d.Targets.Start(e)
@@ -213,8 +211,8 @@
 	}
 }
 
-// pairs returns the keys and values of a decision's log line.
-func pairs(e router.Decision) []any {
+// logPairs returns the keys and values of a decision's log line.
+func logPairs(e router.Decision) []any {
 	list := make([]any, 0, 6+len(e.Pairs))
 	if e.Job != "" {
 		list = append(list, "job", e.Job)
@@ -228,8 +226,9 @@
 	return append(list, e.Pairs...)
 }
 
-// answer hands an effect to the request that waits for it, if it still does.
-func (d *Driver) answer(request uint64, e router.Effect) {
+// deliver passes an effect to the request that waits for it. The effect is dropped when
+// the request has been abandoned.
+func (d *Driver) deliver(request uint64, e router.Effect) {
 	d.mutex.Lock()
 	waiter := d.waiters[request]
 	delete(d.waiters, request)
@@ -239,10 +238,10 @@
 	}
 }
 
-// ask puts an event that carries a request number and returns where its answer
-// comes, and the number.
-func (d *Driver) ask(event func(request uint64) router.Event) (uint64, chan router.Effect) {
-	request := d.number.Add(1)
+// sendRequest queues an event with a new request number. It returns the number and the
+// channel that receives the answer.
+func (d *Driver) sendRequest(event func(request uint64) router.Event) (uint64, chan router.Effect) {
+	request := d.lastRequest.Add(1)
 	waiter := make(chan router.Effect, 1)
 	d.mutex.Lock()
 	d.waiters[request] = waiter
@@ -251,73 +250,75 @@
 	return request, waiter
 }
 
-// Submit runs a job and waits for its verdict. When the context ends before, the
-// job is withdrawn.
+// Submit submits a job, which may take the given budget of time, and waits for its
+// verdict. When the context is done first, the job is withdrawn and the context's error
+// is returned. When Run returns first, the outcome is router.Unknown.
 func (d *Driver) Submit(ctx context.Context, job router.Job, budget time.Duration) (router.Verdict, error) {
-	began := d.Clock.Now()
-	request, waiter := d.ask(func(request uint64) router.Event {
+	startedAt := d.Clock.Now()
+	request, waiter := d.sendRequest(func(request uint64) router.Event {
 		return router.Submit{Request: request, Job: job, Budget: budget}
 	})
 	select {
 	case e := <-waiter:
 		v := e.(router.Answer).Verdict
-		d.Meter.Response.WithLabelValues(job.Route, string(v.Outcome)).Observe(d.Clock.Since(began).Seconds())
+		d.Meter.Response.WithLabelValues(job.Route, string(v.Outcome)).Observe(d.Clock.Since(startedAt).Seconds())
 		return v, nil
 	case <-d.done:
 		return router.Verdict{ID: job.ID, Outcome: router.Unknown, Reason: router.Stopping}, nil
 	case <-ctx.Done():
-		d.forget(request)
+		d.removeWaiter(request)
 		d.Put(router.ClientGone{Request: request})
 		return router.Verdict{}, ctx.Err()
 	}
 }
 
-// Cancel withdraws a job and reports whether it was open here.
+// Cancel withdraws a job and reports whether it was open at this host.
 func (d *Driver) Cancel(ctx context.Context, id string) bool {
-	request, waiter := d.ask(func(request uint64) router.Event { return router.Cancel{Request: request, ID: id} })
+	request, waiter := d.sendRequest(func(request uint64) router.Event { return router.Cancel{Request: request, ID: id} })
 	select {
 	case e := <-waiter:
 		return e.(router.Cancelled).Known
 	case <-d.done:
 	case <-ctx.Done():
-		d.forget(request)
+		d.removeWaiter(request)
 	}
 	return false
 }
 
-// Pending returns the open jobs of this host that have not begun, by route, and
-// those that are open at all, by job.
+// Pending returns this host's open jobs: the number of those that have not started, by
+// route, and whether each has started, by job ID. It returns the zero value when Run
+// has returned or the context is done.
 func (d *Driver) Pending(ctx context.Context) router.OpenJobs {
-	request, waiter := d.ask(func(request uint64) router.Event { return router.CountOpen{Request: request} })
+	request, waiter := d.sendRequest(func(request uint64) router.Event { return router.CountOpen{Request: request} })
 	select {
 	case e := <-waiter:
 		return e.(router.OpenJobs)
 	case <-d.done:
 	case <-ctx.Done():
-		d.forget(request)
+		d.removeWaiter(request)
 	}
 	return router.OpenJobs{}
 }
 
-// Inspect returns what the router believes. The error tells that it has halted or that
-// the context is done.
+// Inspect returns the router's state. It returns an error when Run has returned or the
+// context is done.
 func (d *Driver) Inspect(ctx context.Context) (router.State, error) {
-	request, waiter := d.ask(func(request uint64) router.Event { return router.Inspect{Request: request} })
+	request, waiter := d.sendRequest(func(request uint64) router.Event { return router.Inspect{Request: request} })
 	select {
 	case e := <-waiter:
 		return e.(router.State), nil
 	case <-d.done:
 		return router.State{}, errHalted
 	case <-ctx.Done():
-		d.forget(request)
+		d.removeWaiter(request)
 		return router.State{}, ctx.Err()
 	}
 }
 
-// errHalted answers questions after the end of a shutdown.
+// errHalted answers requests that arrive after the end of a shutdown.
 var errHalted = errors.New("the host has shut down; ask another")
 
-func (d *Driver) forget(request uint64) {
+func (d *Driver) removeWaiter(request uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.waiters, request)
