--- a/internal/linker/link.go
+++ b/internal/linker/link.go
@@ -13,28 +13,29 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// link sends messages to one host.
+// link sends messages to one host. It redials while it has no connection.
 type link struct {
 	linker  *Linker
 	address string
 	cancel  context.CancelFunc
 	wake    chan struct{}
 
-	// hurry ends the pause between two dials.
-	hurry chan struct{}
+	// redial ends the delay between two dials.
+	redial chan struct{}
 
 	mutex sync.Mutex
 	queue []router.Message
 	conn  *websocket.Conn
-	// dialled is when the dial under way began, and giveUp ends it.
-	dialled time.Time
-	giveUp  context.CancelFunc
+	// dialStartedAt is the start of the current dial, and cancelDial aborts it. Both are
+	// zero while there is none.
+	dialStartedAt time.Time
+	cancelDial    context.CancelFunc
 }
 
-// put queues a message while the link stands.
-func (k *link) put(m router.Message) {
+// enqueue queues a message if the link is connected and its queue is not full.
+func (k *link) enqueue(m router.Message) {
 	k.mutex.Lock()
-	if k.conn != nil && len(k.queue) < maxQueue {
+	if k.conn != nil && len(k.queue) < maxQueuedMessages {
 		k.queue = append(k.queue, m)
 	}
 	k.mutex.Unlock()
@@ -44,83 +45,84 @@
 	}
 }
 
-// reset closes the connection; run makes another.
-func (k *link) reset() {
+// closeConnection closes the current connection; run then dials a new one.
+func (k *link) closeConnection() {
 	k.mutex.Lock()
 	c := k.conn
 	k.mutex.Unlock()
 	if c != nil {
-		go k.close(c)
+		go k.closeNow(c)
 	}
 }
 
-// hasten dials anew now that the other host is known to be up: a dial that began
-// before would wait for a packet to be sent again.
-func (k *link) hasten() {
+// redialNow dials at once; it is called when the peer is known to be up. It aborts a dial
+// that is older than slowDialThreshold: the dial probably began before the peer was up, and
+// would wait until the kernel retransmits a packet.
+func (k *link) redialNow() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.conn != nil {
 		return
 	}
-	if k.giveUp != nil {
-		if k.linker.Clock.Since(k.dialled) < slowDial {
+	if k.cancelDial != nil {
+		if k.linker.Clock.Since(k.dialStartedAt) < slowDialThreshold {
 			return
 		}
-		k.giveUp()
+		k.cancelDial()
 	}
 	select {
-	case k.hurry <- struct{}{}:
+	case k.redial <- struct{}{}:
 	default:
 	}
 }
 
-// close ends a connection without waiting for the other side.
-func (k *link) close(c *websocket.Conn) {
+// closeNow closes a connection without waiting for the peer.
+func (k *link) closeNow(c *websocket.Conn) {
 	if err := c.CloseNow(); err != nil {
-		k.linker.Log.V(1).Info("link not closed", "to", k.address, "error", err.Error())
+		k.linker.Log.V(1).Info("closing a link failed", "to", k.address, "error", err.Error())
 	}
 }
 
-// run keeps a connection until the context is done.
+// run connects, and reconnects after each failure, until the context is done.
 func (k *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := k.connect(ctx); err != nil && ctx.Err() == nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				k.linker.Sink.Put(router.PeerExited{Address: k.address})
 			}
-			k.linker.Log.V(1).Info("link failed", "to", k.address, "error", err.Error())
+			k.linker.Log.V(1).Info("link failed; redialing", "to", k.address, "error", err.Error())
 		}
-		timer := k.linker.Clock.NewTimer(redialPause)
+		timer := k.linker.Clock.NewTimer(redialDelay)
 		select {
 		case <-ctx.Done():
 		case <-timer.Chan():
-		case <-k.hurry:
+		case <-k.redial:
 		}
 		timer.Stop()
 	}
 }
 
-// connect dials and sends until the connection fails.
+// connect dials and sends queued messages until the connection fails.
 func (k *link) connect(ctx context.Context) error {
-	dialling, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	k.note(k.linker.Clock.Now(), cancel)
-	c, _, err := websocket.Dial(dialling, "ws://"+k.address+Path, &websocket.DialOptions{
-		HTTPClient: dialer, HTTPHeader: http.Header{headerFrom: []string{k.linker.Self}},
+	k.setDial(k.linker.Clock.Now(), cancel)
+	c, _, err := websocket.Dial(dialContext, "ws://"+k.address+Path, &websocket.DialOptions{
+		HTTPClient: httpClient, HTTPHeader: http.Header{headerFrom: []string{k.linker.Self}},
 		CompressionMode: websocket.CompressionDisabled,
 	})
-	k.note(time.Time{}, nil)
+	k.setDial(time.Time{}, nil)
 	if err != nil {
 		return err
 	}
 	defer c.CloseNow()
-	reading := c.CloseRead(ctx)
-	k.attach(c)
-	defer k.attach(nil)
+	readContext := c.CloseRead(ctx)
+	k.setConnection(c)
+	defer k.setConnection(nil)
 	k.linker.Sink.Put(router.LinkOpened{Address: k.address})
 	for {
 		select {
-		case <-reading.Done():
+		case <-readContext.Done():
 			return errors.New("the peer closed the link")
 		case <-k.wake:
 		}
@@ -130,21 +132,22 @@
 	}
 }
 
-// note notes the dial under way.
-func (k *link) note(began time.Time, giveUp context.CancelFunc) {
+// setDial sets the start of the current dial and the function that aborts it.
+func (k *link) setDial(startedAt time.Time, cancel context.CancelFunc) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.dialled, k.giveUp = began, giveUp
+	k.dialStartedAt, k.cancelDial = startedAt, cancel
 }
 
-// attach notes the connection and drops what was meant for another.
-func (k *link) attach(c *websocket.Conn) {
+// setConnection sets the connection, or nil, and drops the messages that were queued for
+// the previous one.
+func (k *link) setConnection(c *websocket.Conn) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.conn, k.queue = c, nil
 }
 
-// flush writes all queued messages as one frame.
+// flush writes all queued messages in one frame.
 func (k *link) flush(ctx context.Context, c *websocket.Conn) error {
 	k.mutex.Lock()
 	messages := k.queue
@@ -157,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	writing, cancel := context.WithTimeout(ctx, unacked)
+	writeContext, cancel := context.WithTimeout(ctx, unackedTimeout)
 	defer cancel()
-	return c.Write(writing, websocket.MessageBinary, data)
+	return c.Write(writeContext, websocket.MessageBinary, data)
 }
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -1,5 +1,6 @@
-// Package linker carries messages between entry hosts, over WebSocket in CBOR.
-// Each host dials each other one and sends on the connection that it dialled.
+// Package linker sends messages between entry hosts, encoded in CBOR over WebSocket
+// connections. Each host dials every other host, and sends only on the connections that it
+// has dialled.
 package linker
 
 import (
@@ -20,48 +21,49 @@
 )
 
 const (
-	// Path is where a host takes links.
+	// Path is the HTTP path at which a host accepts links.
 	Path = "/link"
-	// headerFrom names the dialling host's address.
+	// headerFrom is the header with the dialling host's address.
 	headerFrom = "Shallot-From"
-	// maxFrame bounds a frame in bytes: a configuration of thousands of routes.
-	maxFrame = 8 << 20
-	// maxQueue bounds the messages that wait for a link.
-	maxQueue = 8192
-	// dialTimeout bounds the making of a link: several round trips between
-	// zones, and less than the time after which a peer counts as silent.
+	// maxFrameBytes bounds a received frame; it has room for a configuration of thousands of
+	// routes.
+	maxFrameBytes = 8 << 20
+	// maxQueuedMessages bounds the queue of a link; further messages are dropped.
+	maxQueuedMessages = 8192
+	// dialTimeout bounds a dial, including the WebSocket handshake: several round trips
+	// between zones, and less than the time after which a peer counts as unresponsive.
 	dialTimeout = 400 * time.Millisecond
-	// connectTimeout bounds the making of the connection below: the kernel answers
-	// in a round trip, and would send a lost packet again after a second only.
+	// connectTimeout bounds the TCP connect within a dial. The peer's kernel answers in one
+	// round trip, and the local kernel retransmits a lost SYN only after 1 s.
 	connectTimeout = 120 * time.Millisecond
-	// slowDial is how long a dial may take before it is given up for a new one:
-	// many round trips, and a fraction of the time until a lost packet is sent
-	// again.
-	slowDial = 50 * time.Millisecond
-	// redialPause is the pause after a link has failed: with connectTimeout a cut
-	// that has healed is noticed within two heartbeats.
-	redialPause = 50 * time.Millisecond
-	// unacked is how long sent bytes may stay without an acknowledgement, and
-	// bounds a write.
-	unacked = 600 * time.Millisecond
+	// slowDialThreshold is the age from which a dial is aborted for a new one when the peer
+	// proves to be up: many round trips, and a fraction of the time after which a lost
+	// packet is retransmitted.
+	slowDialThreshold = 50 * time.Millisecond
+	// redialDelay is the delay after a link has failed. Together with connectTimeout it
+	// ensures that the end of a network partition is noticed within two heartbeats.
+	redialDelay = 50 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the kernel closes
+	// the connection. It also bounds a write.
+	unackedTimeout = 600 * time.Millisecond
 )
 
-// Sink receives what the links bring.
+// Sink receives messages and the state of links as events.
 type Sink interface {
-	// Put hands over one event. It may block for a moment.
+	// Put queues one event. It may block briefly.
 	Put(router.Event)
 }
 
-// Linker keeps the links of a host. Its exported fields are set before Run. It
-// is safe for concurrent use.
+// Linker manages the links of a host. Its exported fields are set before Run. It is safe for
+// concurrent use.
 type Linker struct {
 	// Self is the address under which other hosts reach this one.
 	Self  string
 	Clock clockwork.Clock
 	Log   logr.Logger
 	Sink  Sink
-	// Observe is told of each message that leaves ("out") or arrives ("in"), its kind
-	// and its encoded size. It may be nil.
+	// Observe is called for each message that is sent (direction "out") or received
+	// ("in"), with its kind and encoded size. It may be nil.
 	Observe func(direction, kind string, bytes int)
 
 	mutex   sync.Mutex
@@ -69,7 +71,7 @@
 	links   map[string]*link
 }
 
-// Run makes the Linker ready; links end with the context.
+// Run prepares the Linker and returns. The links end when the context is done.
 func (l *Linker) Run(ctx context.Context) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -77,7 +79,7 @@
 	l.links = make(map[string]*link)
 }
 
-// Dial makes a link to the address unless there is one.
+// Dial creates a link to the address unless it exists. It does nothing before Run.
 func (l *Linker) Dial(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -85,12 +87,12 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(l.context)
-	k := &link{linker: l, address: address, cancel: cancel, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1)}
+	k := &link{linker: l, address: address, cancel: cancel, wake: make(chan struct{}, 1), redial: make(chan struct{}, 1)}
 	l.links[address] = k
 	go k.run(ctx)
 }
 
-// CloseLink ends the link to the address.
+// CloseLink closes and removes the link to the address.
 func (l *Linker) CloseLink(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,18 +102,18 @@
 	}
 }
 
-// Redial replaces the connection of a link, which may have gone silent.
+// Redial replaces the connection of a link to a peer that may have become unresponsive.
 func (l *Linker) Redial(address string) {
 	if k := l.find(address); k != nil {
-		k.reset()
+		k.closeConnection()
 	}
 }
 
-// Send hands a message to a link. Without a connection it is dropped: the hosts
-// repeat what matters once they are linked again.
+// Send queues a message on the link to the address. The message is dropped when the link
+// has no connection: the hosts repeat important messages once they are linked again.
 func (l *Linker) Send(address string, m router.Message) {
 	if k := l.find(address); k != nil {
-		k.put(m)
+		k.enqueue(m)
 	}
 }
 
@@ -121,7 +123,7 @@
 	return l.links[address]
 }
 
-// Handler takes links of other hosts.
+// Handler accepts the links of other hosts.
 func (l *Linker) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		from := q.Header.Get(headerFrom)
@@ -131,29 +133,29 @@
 		}
 		c, err := websocket.Accept(w, q, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 		if err != nil {
-			l.Log.V(1).Info("link not accepted", "from", from, "error", err.Error())
+			l.Log.V(1).Info("accepting a link failed", "from", from, "error", err.Error())
 			return
 		}
-		c.SetReadLimit(maxFrame)
+		c.SetReadLimit(maxFrameBytes)
 		if k := l.find(from); k != nil {
-			k.hasten()
+			k.redialNow()
 		}
 		l.read(q.Context(), from, c)
 	})
 }
 
-// read hands over what a link brings until it fails.
+// read passes received messages to the sink until the link fails.
 func (l *Linker) read(ctx context.Context, from string, c *websocket.Conn) {
 	defer c.CloseNow()
 	for {
 		_, data, err := c.Read(ctx)
 		if err != nil {
-			l.Log.V(1).Info("link ended", "from", from, "error", err.Error())
+			l.Log.V(1).Info("incoming link ended", "from", from, "error", err.Error())
 			return
 		}
 		messages, err := l.decode(data)
 		if err != nil {
-			l.Log.Info("link closed", "from", from, "reason", "unreadable frame", "bytes", len(data), "error", err.Error())
+			l.Log.Info("incoming link closed", "from", from, "reason", "unreadable frame", "bytes", len(data), "error", err.Error())
 			return
 		}
 		for _, m := range messages {
@@ -162,7 +164,7 @@
 	}
 }
 
-// encode makes a frame of messages.
+// encode encodes messages as one frame.
 func (l *Linker) encode(messages []router.Message) ([]byte, error) {
 	parts := make([]cbor.RawMessage, len(messages))
 	for i, m := range messages {
@@ -176,7 +178,8 @@
 	return cbor.Marshal(parts)
 }
 
-// decode takes a frame apart. All of it is refused if one message is not readable.
+// decode decodes the messages of a frame. It rejects the whole frame if one message cannot
+// be decoded.
 func (l *Linker) decode(data []byte) ([]router.Message, error) {
 	var parts []cbor.RawMessage
 	if err := cbor.Unmarshal(data, &parts); err != nil {
@@ -198,20 +201,20 @@
 	}
 }
 
-// control bounds how long sent bytes may stay unacknowledged.
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUnackedTimeout sets the TCP_USER_TIMEOUT of a socket to unackedTimeout.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// dialer makes the connections of all links.
-var dialer = &http.Client{Transport: &http.Transport{
-	DialContext:       (&net.Dialer{Timeout: connectTimeout, Control: control}).DialContext,
+// httpClient dials the connections of all links.
+var httpClient = &http.Client{Transport: &http.Transport{
+	DialContext:       (&net.Dialer{Timeout: connectTimeout, Control: setUnackedTimeout}).DialContext,
 	DisableKeepAlives: true,
 }}
