--- a/internal/assembler/daemon.go
+++ b/internal/assembler/daemon.go
@@ -1,4 +1,5 @@
-// Package assembler puts a daemon together from its settings.
+// Package assembler creates the parts of an entry host from its settings, runs them and
+// shuts them down.
 package assembler
 
 import (
@@ -30,17 +31,16 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's header.
+	// headerTimeout bounds the time to read a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes clients' idle connections.
+	// idleTimeout is the time after which a client's idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds a request's header in bytes.
-	maxHeader = 16 << 10
-	// forwardAsk bounds a forwarded request that does not wait for a job.
-	forwardAsk = time.Second
-	// closeGrace is how long answers may take to leave after the scheduler
-	// has halted.
-	closeGrace = 2 * time.Second
+	// maxHeaderBytes bounds the size of a request's header.
+	maxHeaderBytes = 16 << 10
+	// forwardTimeout bounds a forwarded request that does not wait for a job.
+	forwardTimeout = time.Second
+	// closeTimeout bounds the writing of the last answers after the scheduler has halted.
+	closeTimeout = 2 * time.Second
 )
 
 // Daemon is one entry host. Settings, Clock and Log are set before Run.
@@ -48,20 +48,21 @@
 	Settings *loader.Settings
 	Clock    clockwork.Clock
 	Log      logr.Logger
-	// Listener is where the daemon serves; nil opens Settings.Listen.
+	// Listener accepts the daemon's connections. If it is nil, Run listens at
+	// Settings.Listen.
 	Listener net.Listener
 
-	runner   *runner.Runner
-	meter    *meter.Meter
-	drain    sync.Once
-	draining chan struct{}
-	stop     chan struct{}
-	stopped  sync.Once
-	ready    chan struct{}
-	once     sync.Once
+	runner    *runner.Runner
+	meter     *meter.Meter
+	drainOnce sync.Once
+	draining  chan struct{}
+	stop      chan struct{}
+	stopOnce  sync.Once
+	ready     chan struct{}
+	readyOnce sync.Once
 }
 
-// Init makes the Daemon ready for Run, Drain and Stop.
+// Init prepares the Daemon. It must be called before Run, Ready, Meter, Drain and Stop.
 func (d *Daemon) Init() {
 	d.draining = make(chan struct{})
 	d.stop = make(chan struct{})
@@ -72,22 +73,22 @@
 // Meter returns the daemon's metrics.
 func (d *Daemon) Meter() *meter.Meter { return d.meter }
 
-// Runner returns the daemon's runner, once Ready is closed.
+// Runner returns the daemon's runner. It must not be called before Ready is closed.
 func (d *Daemon) Runner() *runner.Runner { return d.runner }
 
-// Ready is closed once the daemon listens.
+// Ready returns a channel that is closed once the daemon listens.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// Drain begins a graceful shutdown. Run returns when it is over.
-func (d *Daemon) Drain() { d.drain.Do(func() { close(d.draining) }) }
+// Drain starts a graceful shutdown. Run returns when the shutdown is complete.
+func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.draining) }) }
 
-// Stop ends a drain at once, with a truthful answer to each open job.
+// Stop shuts down without waiting for open jobs. Each of them is answered truthfully.
 func (d *Daemon) Stop() {
 	d.Drain()
-	d.stopped.Do(func() { close(d.stop) })
+	d.stopOnce.Do(func() { close(d.stop) })
 }
 
-// Run serves until a drain is over or the context is done.
+// Run serves until a graceful shutdown is complete or the context is done.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -96,50 +97,51 @@
 	if err != nil {
 		return err
 	}
-	listener, err := d.listen(transport)
+	listener, err := d.openListener(transport)
 	if err != nil {
 		return err
 	}
 	web := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: d.Settings.Read,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	s := &service{server: web, listener: listener, failed: make(chan error, 1)}
+	s := &httpServer{server: web, listener: listener, serveErrors: make(chan error, 1)}
 	d.runner.Reporter.Run(ctx)
 	d.runner.Reporter.Dial(d.Settings.Peers)
 	go s.run()
-	go (&part{work: d.runner.Run}).run(ctx)
-	go (&part{work: d.runner.Follower.Run}).run(ctx)
-	d.once.Do(func() { close(d.ready) })
+	go (&component{work: d.runner.Run}).run(ctx)
+	go (&component{work: d.runner.Follower.Run}).run(ctx)
+	d.readyOnce.Do(func() { close(d.ready) })
 	d.Log.Info("serving", "host", d.Settings.Name, "zone", d.Settings.Zone, "address", listener.Addr().String())
-	return d.wait(ctx, s)
+	return d.awaitShutdown(ctx, s)
 }
 
-// part is a long-running piece of the daemon.
-type part struct{ work func(context.Context) }
+// component is a part of the daemon that runs in a goroutine of its own.
+type component struct{ work func(context.Context) }
 
-func (p *part) run(ctx context.Context) { p.work(ctx) }
+func (p *component) run(ctx context.Context) { p.work(ctx) }
 
-// service is the daemon's HTTP server.
-type service struct {
-	server   *http.Server
-	listener net.Listener
-	failed   chan error
+// httpServer serves one address of the daemon and reports when it fails.
+type httpServer struct {
+	server      *http.Server
+	listener    net.Listener
+	serveErrors chan error
 }
 
-// run serves until the server is shut down.
-func (s *service) run() {
+// run serves until the server is shut down or fails.
+func (s *httpServer) run() {
 	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		s.failed <- err
+		s.serveErrors <- err
 	}
 }
 
-// wait follows the shutdown through its steps.
-func (d *Daemon) wait(ctx context.Context, s *service) error {
+// awaitShutdown waits for the start of a shutdown, drains the scheduler, at most until the
+// drain timeout, and shuts the server down.
+func (d *Daemon) awaitShutdown(ctx context.Context, s *httpServer) error {
 	select {
 	case <-ctx.Done():
 		return s.server.Close()
-	case err := <-s.failed:
+	case err := <-s.serveErrors:
 		return err
 	case <-d.draining:
 	}
@@ -156,16 +158,16 @@
 	case <-ctx.Done():
 	}
 	<-d.runner.Done()
-	closing, cancel := context.WithTimeout(context.Background(), closeGrace)
+	closeContext, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if err := s.server.Shutdown(closing); err != nil {
+	if err := s.server.Shutdown(closeContext); err != nil {
 		return s.server.Close()
 	}
 	return nil
 }
 
-// listen opens the daemon's address, with TLS when the settings name keys.
-func (d *Daemon) listen(transport *tls.Config) (net.Listener, error) {
+// openListener listens at the daemon's address, with TLS if there is a TLS configuration.
+func (d *Daemon) openListener(transport *tls.Config) (net.Listener, error) {
 	listener := d.Listener
 	if listener == nil {
 		var err error
@@ -179,44 +181,45 @@
 	return listener, nil
 }
 
-// assemble makes the daemon's parts and returns its handler.
+// assemble creates the daemon's parts. It returns its HTTP handler and its TLS
+// configuration, which is nil without TLS.
 func (d *Daemon) assemble(incarnation uint64) (http.Handler, *tls.Config, error) {
-	v := d.Settings
-	keys, err := loader.NewKeys(v.Certificate, v.Key, v.Authority, d.Clock)
+	settings := d.Settings
+	keys, err := loader.NewKeys(settings.Certificate, settings.Key, settings.Authority, d.Clock)
 	if err != nil {
 		return nil, nil, err
 	}
-	sealer := &ticketer.Sealer{Key: v.Secret}
-	seed := rand.New(rand.NewPCG(incarnation, uint64(len(v.Name))))
+	sealer := &ticketer.Sealer{Key: settings.Secret}
+	seed := rand.New(rand.NewPCG(incarnation, uint64(len(settings.Name))))
 	r := &runner.Runner{
 		Scheduler: &scheduler.Scheduler{
-			Host: v.Name, Zone: v.Zone, Address: v.Address, Incarnation: incarnation, Bounds: v.Bounds,
+			Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation, Bounds: settings.Bounds,
 		},
-		Clock: d.Clock, Log: d.Log, Meter: d.meter, Seeds: v.Peers,
-		Throttle: logger.NewThrottle(d.Log, v.Lines),
+		Clock: d.Clock, Log: d.Log, Meter: d.meter, Seeds: settings.Peers,
+		Throttle: logger.NewThrottle(d.Log, settings.Lines),
 	}
 	r.Throttle.Observe = d.meter.Omitted.Inc
 	r.Init()
 	r.Dispatcher = &dispatcher.Dispatcher{
-		Clock: d.Clock, Sink: r, Identity: fmt.Sprintf("%s/%x", v.Name, incarnation),
-		Dial: v.Dial, Unacked: v.Unacked, MaxResult: v.Result,
+		Clock: d.Clock, Sink: r, Identity: fmt.Sprintf("%s/%x", settings.Name, incarnation),
+		Dial: settings.Dial, Unacked: settings.Unacked, MaxResult: settings.Result,
 	}
 	r.Reporter = &reporter.Reporter{
-		Clock: d.Clock, Log: d.Log, Sink: r, Secret: v.Secret, TLS: keys.Client(), Seed: incarnation, Observe: d.meter.Report,
-		Self: reporter.Hello{Host: v.Name, Zone: v.Zone, Address: v.Address, Incarnation: incarnation},
+		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.Secret, TLS: keys.Client(), Seed: incarnation, Observe: d.meter.Report,
+		Self: reporter.Hello{Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation},
 	}
 	r.Follower = &follower.Follower{
-		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(v.Platform, v.Timeout), Zone: v.Zone, Sink: r,
-		Every: v.Poll, Slowest: v.PollSlowest, Random: seed, Observe: d.meter.Poll,
+		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(settings.Platform, settings.Timeout), Zone: settings.Zone, Sink: r,
+		Every: settings.Poll, Slowest: settings.PollSlowest, Random: seed, Observe: d.meter.Poll,
 	}
 	r.Follower.Init()
 	d.runner = r
 	web := &server.Server{
 		Log: d.Log, Runner: r, Meter: d.meter, Sealer: sealer, Peers: r.Reporter,
-		Address: v.Address, Incarnation: incarnation, Secret: v.Secret, Operator: v.Operator,
-		Body: v.Body, Requests: v.Requests, Drain: d.Drain,
+		Address: settings.Address, Incarnation: incarnation, Secret: settings.Secret, Operator: settings.Operator,
+		Body: settings.Body, Requests: settings.Requests, Drain: d.Drain,
 		Forwarder: &server.Forwarder{
-			Clock: d.Clock, HTTP: keys.HTTP(v.Dial), Scheme: keys.Scheme(), Secret: v.Secret, Ask: forwardAsk, Seal: sealer.Seal,
+			Clock: d.Clock, HTTP: keys.HTTP(settings.Dial), Scheme: keys.Scheme(), Secret: settings.Secret, Ask: forwardTimeout, Seal: sealer.Seal,
 		},
 	}
 	return web.Handler(), keys.Server(), nil
--- a/internal/assembler/daemon_test.go
+++ b/internal/assembler/daemon_test.go
@@ -18,16 +18,17 @@
 	"github.com/shallotrouter/shallotrouter/internal/stager"
 )
 
-// TestTLS runs two hosts with TLS towards clients and each other, and submits to
-// one of them under a ticket of the other.
-func TestTLS(t *testing.T) {
+// TestHostsServeAndForwardOverTLS: two hosts use TLS between each other and towards
+// clients. A job that is submitted to one host with the other's ticket is forwarded and
+// completes, and plain HTTP is rejected.
+func TestHostsServeAndForwardOverTLS(t *testing.T) {
 	certificate, key, err := faker.WritePair(t.TempDir(), 1)
 	require.NoError(t, err)
 	s := &stager.Stage{
 		Zones: []string{"z"}, Hosts: []int{2}, Targets: 1, Slots: 2, Clients: []string{"comites"}, Log: logr.Discard(),
 		Settings: fmt.Sprintf("certificate = %s\nkey = %s\nauthority = %s\n", certificate, key, certificate),
 	}
-	require.NoError(t, s.Start(t.Context()), "the hosts hear each other")
+	require.NoError(t, s.Start(t.Context()), "the hosts must connect to each other")
 	defer s.Close()
 	pem, err := os.ReadFile(certificate)
 	require.NoError(t, err)
@@ -50,5 +51,5 @@
 	response, err := http.Get("http://" + s.Nodes[0].Address + "/healthz")
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	assert.Equal(t, http.StatusBadRequest, response.StatusCode, "plain HTTP is not served")
+	assert.Equal(t, http.StatusBadRequest, response.StatusCode, "plain HTTP must be rejected")
 }
--- a/internal/assembler/node.go
+++ b/internal/assembler/node.go
@@ -29,140 +29,141 @@
 	"github.com/shallotrouter/shallotrouter/platform"
 )
 
-// clientIdle closes clients' idle connections. It is longer than the time after
-// which the users' clients close them (15 s), so that no request meets a
-// connection that is being closed.
-const clientIdle = 60 * time.Second
+// clientIdleTimeout is the time after which a client's idle connection is closed. It is
+// longer than the 15 s after which the platform's clients close theirs, so that no request
+// is sent on a connection that this host is closing.
+const clientIdleTimeout = 60 * time.Second
 
 const (
-	// milli turns cores into thousandths.
-	milli = 1000
-	// kilo turns Mbit/s into kbit/s.
-	kilo = 1000
+	// millicoresPerCore converts the setting in cores to thousandths of a core.
+	millicoresPerCore = 1000
+	// kbitPerMbit converts the setting in Mbit/s to kbit/s.
+	kbitPerMbit = 1000
 )
 
-// Node is an entry host on the users' platform. Settings, Clock and Log are set
-// before Run.
+// Node is an entry host on the platform. Settings, Clock, Log and Meter are set before Run.
 type Node struct {
 	Settings *loader.Node
 	Clock    clockwork.Clock
 	Log      logr.Logger
 	Meter    *meter.Host
 
-	drain    sync.Once
-	draining chan struct{}
-	stopped  sync.Once
-	stop     chan struct{}
+	drainOnce sync.Once
+	draining  chan struct{}
+	stopOnce  sync.Once
+	stop      chan struct{}
 }
 
-// Init makes the Node ready for Run, Drain and Stop.
+// Init prepares the Node. It must be called before Run, Drain and Stop.
 func (n *Node) Init() {
 	n.draining = make(chan struct{})
 	n.stop = make(chan struct{})
 }
 
-// Drain begins a graceful shutdown. Run returns when it is over.
-func (n *Node) Drain() { n.drain.Do(func() { close(n.draining) }) }
+// Drain starts a graceful shutdown. Run returns when the shutdown is complete.
+func (n *Node) Drain() { n.drainOnce.Do(func() { close(n.draining) }) }
 
-// Stop ends a drain at once.
+// Stop shuts down without waiting for open jobs.
 func (n *Node) Stop() {
 	n.Drain()
-	n.stopped.Do(func() { close(n.stop) })
+	n.stopOnce.Do(func() { close(n.stop) })
 }
 
-// Run serves until a drain is over or the context is done.
+// Run serves until a graceful shutdown is complete or the context is done.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	v := n.Settings
-	self := router.Member{Name: v.Name, Zone: v.Zone, Address: v.Links, Incarnation: n.Clock.Now().UnixNano(), CPUShare: int(v.Power * milli), LinkRate: int(v.Link * kilo)}
+	settings := n.Settings
+	self := router.Member{Name: settings.Name, Zone: settings.Zone, Address: settings.Links, Incarnation: n.Clock.Now().UnixNano(), CPUShare: int(settings.Power * millicoresPerCore), LinkRate: int(settings.Link * kbitPerMbit)}
 	d := &driver.Driver{
-		Router: &router.Router{Self: self, Bounds: v.Bounds, Seeds: v.Seeds},
-		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, v.Lines),
+		Router: &router.Router{Self: self, Bounds: settings.Bounds, Seeds: settings.Seeds},
+		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, settings.Lines),
 	}
 	d.Throttle.Observe = n.Meter.Omitted.Inc
 	d.Init()
-	links := &linker.Linker{Self: v.Links, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.Link}
+	links := &linker.Linker{Self: settings.Links, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.Link}
 	links.Run(ctx)
 	d.Links = links
 	d.Targets = &platform.Targets{
-		Clock: n.Clock, Log: n.Log, Sink: d, Dial: v.Dial, Unacked: v.Unacked, Connections: v.Connections, Observe: n.Meter.Order,
-		Limiter: &limiter.Limiter{Clock: n.Clock, AtOnce: v.Bounds.MaxOrders, Span: v.Bounds.OrderWindow},
+		Clock: n.Clock, Log: n.Log, Sink: d, Dial: settings.Dial, Unacked: settings.Unacked, Connections: settings.Connections, Observe: n.Meter.Order,
+		Limiter: &limiter.Limiter{Clock: n.Clock, AtOnce: settings.Bounds.MaxOrders, Span: settings.Bounds.OrderWindow},
 	}
-	registry := n.registrar(self, d)
+	registry := n.newRegistrar(self, d)
 	d.Store = registry
-	front := &platform.Front{Host: d, Log: n.Log}
-	servers, err := n.open(front, links, d)
+	frontend := &platform.Front{Host: d, Log: n.Log}
+	servers, err := n.openServers(frontend, links, d)
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, len(servers))
+	serveErrors := make(chan error, len(servers))
 	for _, s := range servers {
-		s.failed = failed
+		s.serveErrors = serveErrors
 		go s.run()
 	}
 	registry.Run(ctx)
-	go (&part{work: d.Run}).run(ctx)
-	n.Log.Info("serving", "zone", v.Zone, "clients", v.Clients, "links", v.Links, "pid", os.Getpid(), "processors", runtime.GOMAXPROCS(0))
-	return n.wait(ctx, d, servers, failed)
+	go (&component{work: d.Run}).run(ctx)
+	n.Log.Info("serving", "zone", settings.Zone, "clients", settings.Clients, "links", settings.Links, "pid", os.Getpid(), "processors", runtime.GOMAXPROCS(0))
+	return n.awaitShutdown(ctx, d, servers, serveErrors)
 }
 
-func (n *Node) registrar(self router.Member, sink registrar.Sink) *registrar.Registrar {
-	v := n.Settings
+func (n *Node) newRegistrar(self router.Member, sink registrar.Sink) *registrar.Registrar {
+	settings := n.Settings
 	return &registrar.Registrar{
 		Self: self, Sink: sink, Clock: n.Clock, Log: n.Log,
 		Random: rand.New(rand.NewPCG(uint64(self.Incarnation), xxhash.Sum64String(self.Address))),
 		Table: &platform.Store{
-			Address: v.Store, Log: n.Log, HTTP: platform.NewClient(v.Dial, v.Unacked),
+			Address: settings.Store, Log: n.Log, HTTP: platform.NewClient(settings.Dial, settings.Unacked),
 			Observe: func(call, result string) { n.Meter.StoreCalls.WithLabelValues(call, result).Inc() },
 		},
 	}
 }
 
-// open opens the daemon's addresses.
-func (n *Node) open(front *platform.Front, links *linker.Linker, host inspected) ([]*service, error) {
-	v := n.Settings
+// openServers listens at the host's addresses: for clients, for readiness probes, for links
+// and, if set, for metrics.
+func (n *Node) openServers(frontend *platform.Front, links *linker.Linker, host stateSource) ([]*httpServer, error) {
+	settings := n.Settings
 	metrics := promhttp.HandlerFor(n.Meter.Registry, promhttp.HandlerOpts{})
 	state := &stateHandler{host: host, log: n.Log}
-	mesh := http.NewServeMux()
-	mesh.Handle("GET "+linker.Path, links.Handler())
-	mesh.Handle("GET /metrics", metrics)
-	mesh.Handle("GET "+inspector.Path, state)
-	list := []struct {
+	peerMux := http.NewServeMux()
+	peerMux.Handle("GET "+linker.Path, links.Handler())
+	peerMux.Handle("GET /metrics", metrics)
+	peerMux.Handle("GET "+inspector.Path, state)
+	endpoints := []struct {
 		address string
 		key     string
 		handler http.Handler
-	}{{v.Clients, "clients", front.Handler()}, {v.Probe, "probe", front.Ready()}, {v.Links, "links", mesh}}
-	if v.Metrics != "" {
-		own := http.NewServeMux()
-		own.Handle("GET /metrics", metrics)
-		own.Handle("GET "+inspector.Path, state)
-		list = append(list, struct {
+	}{{settings.Clients, "clients", frontend.Handler()}, {settings.Probe, "probe", frontend.Ready()}, {settings.Links, "links", peerMux}}
+	if settings.Metrics != "" {
+		metricsMux := http.NewServeMux()
+		metricsMux.Handle("GET /metrics", metrics)
+		metricsMux.Handle("GET "+inspector.Path, state)
+		endpoints = append(endpoints, struct {
 			address string
 			key     string
 			handler http.Handler
-		}{v.Metrics, "metrics", own})
+		}{settings.Metrics, "metrics", metricsMux})
 	}
-	var servers []*service
-	for _, e := range list {
+	var servers []*httpServer
+	for _, e := range endpoints {
 		listener, err := net.Listen("tcp", e.address)
 		if err != nil {
 			return nil, merry.Prepend(err, "the address cannot be opened; free it or change [node] "+e.key)
 		}
 		web := &http.Server{
-			Handler: e.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdle, MaxHeaderBytes: maxHeader,
+			Handler: e.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}
-		servers = append(servers, &service{server: web, listener: listener})
+		servers = append(servers, &httpServer{server: web, listener: listener})
 	}
 	return servers, nil
 }
 
-// wait follows the shutdown through its steps.
-func (n *Node) wait(ctx context.Context, d *driver.Driver, servers []*service, failed chan error) error {
+// awaitShutdown waits for the start of a shutdown, drains the router and shuts the
+// servers down.
+func (n *Node) awaitShutdown(ctx context.Context, d *driver.Driver, servers []*httpServer, serveErrors chan error) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-failed:
+	case err := <-serveErrors:
 		return err
 	case <-n.draining:
 	}
@@ -173,19 +174,19 @@
 	case <-n.stop:
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	closeContext, cancel := context.WithTimeout(context.Background(), lastAnswersTimeout)
 	defer cancel()
 	var err error
 	for _, s := range servers {
-		err = errors.Join(err, s.server.Shutdown(closing))
+		err = errors.Join(err, s.server.Shutdown(closeContext))
 	}
 	if err != nil {
-		n.Log.Error(err, "stopped before all answers had left", "bound", lastAnswers.String())
-		return nil // clients whose connection broke send their jobs again
+		n.Log.Error(err, "stopped before all answers were written; clients will retry", "bound", lastAnswersTimeout.String())
+		return nil // clients whose connection broke submit their jobs again
 	}
 	n.Log.Info("stopped")
 	return nil
 }
 
-// lastAnswers bounds the writing of the last answers at the end of a shutdown.
-const lastAnswers = 300 * time.Millisecond
+// lastAnswersTimeout bounds the writing of the last answers at the end of a shutdown.
+const lastAnswersTimeout = 300 * time.Millisecond
--- a/internal/assembler/state.go
+++ b/internal/assembler/state.go
@@ -11,24 +11,25 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// stateBound bounds the wait for the router's answer: less than half of the 5 s that
-// the operators' tool waits by default.
-const stateBound = 2 * time.Second
+// stateTimeout bounds the wait for the router's state. It is less than half of shallotctl's
+// default timeout of 5 s.
+const stateTimeout = 2 * time.Second
 
-// inspected tells what a host believes.
-type inspected interface {
+// stateSource provides the router's state. driver.Driver implements it.
+type stateSource interface {
 	Inspect(ctx context.Context) (router.State, error)
 }
 
-// stateHandler tells operators what a host believes, as JSON.
+// stateHandler serves the router's state to operators as JSON.
 type stateHandler struct {
-	host inspected
+	host stateSource
 	log  logr.Logger
 }
 
-// ServeHTTP answers with the state, or with 503 when the router does not answer.
+// ServeHTTP responds with the state, or with status 503 when the router does not provide it
+// within stateTimeout.
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), stateBound)
+	ctx, cancel := context.WithTimeout(r.Context(), stateTimeout)
 	defer cancel()
 	state, err := h.host.Inspect(ctx)
 	if err != nil {
