--- a/internal/loader/keys.go
+++ b/internal/loader/keys.go
@@ -13,64 +13,65 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// keysFresh is how long a loaded certificate is used before its file is looked
-// at again.
-const keysFresh = 10 * time.Second
+// certificateCheckInterval is how long a loaded certificate is used before its file is
+// checked for changes.
+const certificateCheckInterval = 10 * time.Second
 
-// Keys holds the TLS files of a daemon and loads them anew when they change. It
+// Keys holds the TLS certificate of a daemon and reloads it when its file changes. It
 // is safe for concurrent use.
 type Keys struct {
-	certificate string
-	key         string
-	pool        *x509.CertPool
-	clock       clockwork.Clock
+	certificatePath string
+	keyPath         string
+	rootCAs         *x509.CertPool
+	clock           clockwork.Clock
 
-	mutex   sync.Mutex
-	loaded  *tls.Certificate
-	changed time.Time
-	checked time.Time
+	mutex      sync.Mutex
+	loaded     *tls.Certificate
+	modifiedAt time.Time
+	checkedAt  time.Time
 }
 
-// NewKeys loads the files. Without a certificate, TLS is off.
+// NewKeys loads the PEM files at the given paths. TLS is off if the path of the
+// certificate is empty; an empty authority stands for the system's root certificates.
 func NewKeys(certificate, key, authority string, clock clockwork.Clock) (*Keys, error) {
-	k := &Keys{certificate: certificate, key: key, clock: clock}
+	k := &Keys{certificatePath: certificate, keyPath: key, clock: clock}
 	if certificate == "" {
 		return k, nil
 	}
 	if authority != "" {
 		pem, err := os.ReadFile(authority)
 		if err != nil {
-			return nil, merry.Prepend(err, "the authority cannot be read; correct [security] authority")
+			return nil, merry.Prepend(err, "the authority file cannot be read; correct [security] authority")
 		}
-		k.pool = x509.NewCertPool()
-		if !k.pool.AppendCertsFromPEM(pem) {
-			return nil, merry.Errorf("%s holds no certificate; correct [security] authority", authority)
+		k.rootCAs = x509.NewCertPool()
+		if !k.rootCAs.AppendCertsFromPEM(pem) {
+			return nil, merry.Errorf("%s contains no certificate; correct [security] authority", authority)
 		}
 	}
-	_, err := k.current(nil)
+	_, err := k.currentCertificate(nil)
 	return k, err
 }
 
-// current returns the certificate, loaded anew when its file has changed. A
-// file that cannot be loaded leaves the old certificate in force.
-func (k *Keys) current(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+// currentCertificate returns the certificate and first reloads it if its file has
+// changed. If the new file cannot be loaded, the old certificate stays in use.
+func (k *Keys) currentCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.clock.Now()
-	if k.loaded != nil && now.Sub(k.checked) < keysFresh {
+	if k.loaded != nil && now.Sub(k.checkedAt) < certificateCheckInterval {
 		return k.loaded, nil
 	}
-	k.checked = now
-	info, err := os.Stat(k.certificate)
-	if err == nil && k.loaded != nil && info.ModTime().Equal(k.changed) {
+	k.checkedAt = now
+	info, err := os.Stat(k.certificatePath)
+	if err == nil && k.loaded != nil && info.ModTime().Equal(k.modifiedAt) {
 		return k.loaded, nil
 	}
-	pair, err := tls.LoadX509KeyPair(k.certificate, k.key)
+	pair, err := tls.LoadX509KeyPair(k.certificatePath, k.keyPath)
 	switch {
 	case err == nil:
 		k.loaded = &pair
 		if info != nil {
-			k.changed = info.ModTime()
+			k.modifiedAt = info.ModTime()
 		}
 	case k.loaded == nil:
 		return nil, merry.Prepend(err, "the certificate cannot be loaded; correct [security] certificate and key")
@@ -78,36 +79,36 @@
 	return k.loaded, nil
 }
 
-// Server returns the configuration of the listening side, or nil without TLS.
+// Server returns the TLS configuration of a server, or nil if TLS is off.
 func (k *Keys) Server() *tls.Config {
-	if k.certificate == "" {
+	if k.certificatePath == "" {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.current}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.currentCertificate}
 }
 
-// Client returns the configuration of the dialling side, or nil without TLS.
+// Client returns the TLS configuration of a client, or nil if TLS is off.
 func (k *Keys) Client() *tls.Config {
-	if k.certificate == "" {
+	if k.certificatePath == "" {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: k.pool}
+	return &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: k.rootCAs}
 }
 
-// Scheme returns https with TLS and http without.
+// Scheme returns the URL scheme: https if TLS is on, else http.
 func (k *Keys) Scheme() string {
-	if k.certificate == "" {
+	if k.certificatePath == "" {
 		return "http"
 	}
 	return "https"
 }
 
-// HTTP returns a client for other entry hosts that dials within the bound and
-// follows no redirect.
-func (k *Keys) HTTP(dial time.Duration) *http.Client {
+// HTTP returns a client for requests to other entry hosts. It does not follow
+// redirects; dialTimeout limits the time to connect.
+func (k *Keys) HTTP(dialTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:     (&net.Dialer{Timeout: dial}).DialContext,
+			DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			TLSClientConfig: k.Client(),
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/internal/loader/keys_test.go
+++ b/internal/loader/keys_test.go
@@ -16,27 +16,28 @@
 	"github.com/shallotrouter/shallotrouter/internal/faker"
 )
 
-// writePair writes a certificate and its key.
+// writePair writes a certificate and its key to dir and returns their paths.
 func writePair(t *testing.T, dir string, serial int64) (certificate, key string) {
 	certificate, key, err := faker.WritePair(dir, serial)
 	require.NoError(t, err)
 	return certificate, key
 }
 
-// TestKeysAreReloaded replaces the certificate of a running server, then breaks
-// the file.
-func TestKeysAreReloaded(t *testing.T) {
+// TestChangedCertificateIsReloaded replaces the certificate file of a running server,
+// which must use the new one, then overwrites it with an invalid one, which must be
+// ignored.
+func TestChangedCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	certificate, key := writePair(t, dir, 1)
 	clock := clockwork.NewFakeClockAt(time.Now())
 	keys, err := NewKeys(certificate, key, certificate, clock)
 	require.NoError(t, err)
-	web := httptest.NewUnstartedServer(http.NotFoundHandler())
-	web.Listener = tls.NewListener(web.Listener, keys.Server())
-	web.Start()
-	defer web.Close()
+	server := httptest.NewUnstartedServer(http.NotFoundHandler())
+	server.Listener = tls.NewListener(server.Listener, keys.Server())
+	server.Start()
+	defer server.Close()
 	serial := func() int64 {
-		c, err := tls.Dial("tcp", web.Listener.Addr().String(), &tls.Config{InsecureSkipVerify: true})
+		c, err := tls.Dial("tcp", server.Listener.Addr().String(), &tls.Config{InsecureSkipVerify: true})
 		require.NoError(t, err)
 		defer c.Close()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
@@ -44,30 +45,30 @@
 	assert.Equal(t, int64(1), serial())
 	writePair(t, dir, 2)
 	require.NoError(t, os.Chtimes(certificate, time.Now(), time.Now().Add(time.Minute)))
-	clock.Advance(keysFresh + time.Second)
+	clock.Advance(certificateCheckInterval + time.Second)
 	assert.Equal(t, int64(2), serial())
 	require.NoError(t, os.WriteFile(certificate, []byte("broken"), 0o600))
-	clock.Advance(keysFresh + time.Second)
-	assert.Equal(t, int64(2), serial(), "a broken file leaves the old certificate in force")
+	clock.Advance(certificateCheckInterval + time.Second)
+	assert.Equal(t, int64(2), serial(), "an invalid file leaves the old certificate in use")
 }
 
-// TestKeysVerify requires that the dialling side accepts the authority's hosts
-// and no others.
-func TestKeysVerify(t *testing.T) {
+// TestClientVerifiesCertificates requires that a client accepts only servers whose
+// certificate its authority has signed.
+func TestClientVerifiesCertificates(t *testing.T) {
 	certificate, key := writePair(t, t.TempDir(), 1)
 	keys, err := NewKeys(certificate, key, certificate, clockwork.NewRealClock())
 	require.NoError(t, err)
-	web := httptest.NewUnstartedServer(http.NotFoundHandler())
-	web.Listener = tls.NewListener(web.Listener, keys.Server())
-	web.Start()
-	defer web.Close()
-	response, err := keys.HTTP(time.Second).Get("https://" + web.Listener.Addr().String())
+	server := httptest.NewUnstartedServer(http.NotFoundHandler())
+	server.Listener = tls.NewListener(server.Listener, keys.Server())
+	server.Start()
+	defer server.Close()
+	response, err := keys.HTTP(time.Second).Get("https://" + server.Listener.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	other, otherKey := writePair(t, t.TempDir(), 2)
-	strangers, err := NewKeys(other, otherKey, other, clockwork.NewRealClock())
+	otherKeys, err := NewKeys(other, otherKey, other, clockwork.NewRealClock())
 	require.NoError(t, err)
-	_, err = strangers.HTTP(time.Second).Get("https://" + web.Listener.Addr().String())
+	_, err = otherKeys.HTTP(time.Second).Get("https://" + server.Listener.Addr().String())
 	assert.Error(t, err)
 	_, err = NewKeys(filepath.Join(t.TempDir(), "none"), key, "", clockwork.NewRealClock())
 	assert.ErrorContains(t, err, "correct [security] certificate and key")
--- a/internal/loader/node.go
+++ b/internal/loader/node.go
@@ -7,60 +7,61 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Node are the settings of an entry host on the users' platform. Except for
-// Lines they do not change while the daemon runs.
+// Node are the settings of an entry host that runs as a platform node. They do not
+// change while the daemon runs.
 type Node struct {
-	// Name is the host's name, Zone its availability zone.
+	// Name is the host's name, unique in the deployment, and Zone its availability zone.
 	Name string
 	Zone string
-	// Power is the host's processor share in cores; hosts with more hold the
-	// targets of a zone first.
+	// Power is the host's processor share in cores. Hosts with a larger share are
+	// preferred as holders of the targets of a zone.
 	Power float64
-	// Link is the rate of the host's network link in Mbit/s; 0 means that it is not
-	// known.
+	// Link is the rate of the host's network link in Mbit/s; 0 means unknown.
 	Link float64
-	// Clients, Probe, Links and Metrics are the addresses that the daemon opens
-	// for clients, the balancer, other entry hosts and monitoring. Without
-	// Metrics, Probe serves them.
+	// Clients, Probe, Links and Metrics are the addresses on which the daemon listens
+	// for clients, the load balancer, other entry hosts and monitoring. If Metrics is
+	// empty, the metrics are served at Probe.
 	Clients string
 	Probe   string
 	Links   string
 	Metrics string
-	// Seeds are the Links addresses of some other entry hosts. They may be
-	// stale.
+	// Seeds are the Links addresses of some other entry hosts, through which the host
+	// finds the rest. They may be out of date.
 	Seeds []string
 	// Store is the address of the platform's store.
 	Store string
-	// Dial bounds the making of a connection to a target or the store, and
-	// Unacked how long sent bytes may stay unacknowledged.
+	// Dial limits the time to connect to a target or the store, and Unacked the time
+	// for which sent bytes may stay unacknowledged.
 	Dial    time.Duration
 	Unacked time.Duration
-	// Connections bounds the open connections to one target.
+	// Connections is the maximum number of open connections to one target.
 	Connections int
-	// Verbosity is the level of detail of the log, Lines bounds its decisions a
-	// second, and Buffer the bytes that wait to be written.
+	// Verbosity is the level of detail of the log, Lines the maximum number of
+	// logged decisions per second, and Buffer the maximum number of bytes that wait
+	// to be written.
 	Verbosity int
 	Lines     int
 	Buffer    int
 	// Bounds are the limits of the router.
 	Bounds router.Bounds
-	// Settings are the values in force and where each comes from.
+	// Settings are the effective values and where each comes from.
 	Settings []parser.Setting
 }
 
-// IsNode reports whether INI text has the settings of a Node: those of a host of
-// its own platform have no [node] section.
+// IsNode reports whether INI text contains the settings of a Node. It recognises them
+// by their [node] section; the text for Parse has none.
 func IsNode(text string) bool { return parser.Parse("", text).Has("node") }
 
-// ParseNode reads settings from INI text. The error is parser.Faults.
+// ParseNode reads settings from INI text. The name of the file is used in error texts.
+// The error is of type parser.Faults and lists every fault.
 func ParseNode(name, text string) (*Node, error) {
 	doc := parser.Parse(name, text)
 	v := &Node{Bounds: router.Standard()}
-	v.node(doc)
-	v.store(doc)
-	v.targets(doc)
-	v.members(doc)
-	v.log(doc)
+	v.readNode(doc)
+	v.readStore(doc)
+	v.readTargets(doc)
+	v.readMembers(doc)
+	v.readLog(doc)
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
@@ -68,7 +69,7 @@
 	return v, nil
 }
 
-func (v *Node) node(doc *parser.Document) {
+func (v *Node) readNode(doc *parser.Document) {
 	s := doc.Section("node")
 	defer s.Close()
 	v.Name = s.Need("name", "give the host a name that is unique in the deployment")
@@ -76,7 +77,7 @@
 	v.Power = s.Float("power", 1, 0.001, 1024)
 	v.Link = s.Float("link", 0, 0, 1_000_000)
 	v.Clients = s.Need("clients", "write the address for clients, such as 127.0.0.1:7100")
-	v.Probe = s.Need("probe", "write the address for the balancer, such as 127.0.0.1:7101")
+	v.Probe = s.Need("probe", "write the address for the load balancer, such as 127.0.0.1:7101")
 	v.Links = s.Need("links", "write the address for other entry hosts, such as 127.0.0.1:7102")
 	v.Metrics = s.Text("metrics", "")
 	for key, address := range map[string]string{"clients": v.Clients, "probe": v.Probe, "links": v.Links, "metrics": v.Metrics} {
@@ -86,7 +87,7 @@
 	v.Bounds.ShutdownLinger = s.Duration("linger", v.Bounds.ShutdownLinger, 0, time.Hour)
 }
 
-func (v *Node) store(doc *parser.Document) {
+func (v *Node) readStore(doc *parser.Document) {
 	s := doc.Section("store")
 	defer s.Close()
 	v.Store = s.Need("address", "write the address of the platform's store")
@@ -94,7 +95,7 @@
 	v.Bounds.DirectoryInterval = s.Duration("directory", v.Bounds.DirectoryInterval, 10*time.Millisecond, time.Minute)
 }
 
-func (v *Node) targets(doc *parser.Document) {
+func (v *Node) readTargets(doc *parser.Document) {
 	s := doc.Section("targets")
 	defer s.Close()
 	b := &v.Bounds
@@ -109,7 +110,7 @@
 	}
 }
 
-func (v *Node) members(doc *parser.Document) {
+func (v *Node) readMembers(doc *parser.Document) {
 	s := doc.Section("members")
 	defer s.Close()
 	b := &v.Bounds
@@ -129,7 +130,7 @@
 	b.QuarantineDuration = b.OriginTimeout + b.LeaseDuration + 3*b.StopDuration
 }
 
-func (v *Node) log(doc *parser.Document) {
+func (v *Node) readLog(doc *parser.Document) {
 	s := doc.Section("log")
 	defer s.Close()
 	v.Verbosity = s.Int("verbosity", 0, 0, 9)
--- a/internal/loader/node_test.go
+++ b/internal/loader/node_test.go
@@ -24,26 +24,28 @@
 lease = 2s
 `
 
-// TestOrigins: each value in force is told with where it comes from.
-func TestOrigins(t *testing.T) {
+// TestSettingsNameTheirOrigin: each effective value is listed once, with its line in
+// the file or "default".
+func TestSettingsNameTheirOrigin(t *testing.T) {
 	v, err := ParseNode("n.ini", nodeText)
 	require.NoError(t, err)
-	told := make(map[string]parser.Setting)
+	settings := make(map[string]parser.Setting)
 	for _, s := range v.Settings {
-		told[s.Section+"."+s.Key] = s
+		settings[s.Section+"."+s.Key] = s
 	}
-	assert.Equal(t, "2s", told["targets.lease"].Value)
-	assert.Equal(t, "line 12", told["targets.lease"].Origin())
-	assert.Equal(t, "80ms", told["members.beat"].Value)
-	assert.Equal(t, "default", told["members.beat"].Origin())
-	assert.Equal(t, "1", told["node.power"].Value)
-	assert.Equal(t, "150", told["targets.split"].Value)
-	assert.Len(t, v.Settings, len(told), "each key once")
+	assert.Equal(t, "2s", settings["targets.lease"].Value)
+	assert.Equal(t, "line 12", settings["targets.lease"].Origin())
+	assert.Equal(t, "80ms", settings["members.beat"].Value)
+	assert.Equal(t, "default", settings["members.beat"].Origin())
+	assert.Equal(t, "1", settings["node.power"].Value)
+	assert.Equal(t, "150", settings["targets.split"].Value)
+	assert.Len(t, v.Settings, len(settings), "each key is listed once")
 	assert.Equal(t, 2*time.Second, v.Bounds.LeaseDuration)
 }
 
-// TestNodeFaults: all faults of a host's settings are told at once, by key.
-func TestNodeFaults(t *testing.T) {
+// TestNodeFaultsAreReportedTogether: all faults of a file are returned in one
+// error, each with its section and key.
+func TestNodeFaultsAreReportedTogether(t *testing.T) {
 	_, err := ParseNode("n.ini", "[node]\nname = a\nclients = x\nlinks = 127.0.0.1:3\npower = 0\n[members]\nbeat = 200ms\n[targets]\nlease = 2\nleese = 1s\n")
 	var faults parser.Faults
 	require.ErrorAs(t, err, &faults)
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -10,61 +10,61 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Settings are what one daemon is told at its start. They do not change while
-// it runs.
+// Settings are the settings of one daemon. They do not change while it runs.
 type Settings struct {
 	// Name is the host's name, unique in the deployment.
 	Name string
 	// Zone is the host's availability zone.
 	Zone string
-	// Listen is the address that the daemon opens.
+	// Listen is the address on which the daemon listens.
 	Listen string
-	// Address is where clients and peers reach the host.
+	// Address is the address at which clients and peers reach the host.
 	Address string
-	// Platform is the address of the platform's service, and Timeout bounds a
-	// request to it.
+	// Platform is the address of the platform's service, and Timeout limits a request
+	// to it.
 	Platform string
 	Timeout  time.Duration
-	// Poll is the period of reads of the platform by a host alone in its zone,
-	// and PollSlowest bounds the period with peers.
+	// Poll is the interval at which a host that is alone in its zone reads the
+	// platform, and PollSlowest the maximum interval of a host that has peers.
 	Poll        time.Duration
 	PollSlowest time.Duration
-	// Secret is the key that all entry hosts share.
+	// Secret is the peer key, which all entry hosts share.
 	Secret []byte
-	// Peers are addresses of other entry hosts that are known from the start.
+	// Peers are the addresses of some other entry hosts, known at the start.
 	Peers []string
-	// Operator is the SHA-256 of the operators' bearer token.
+	// Operator is the SHA-256 hash of the operators' bearer token.
 	Operator string
-	// Certificate, Key and Authority are PEM files; without them the daemon
-	// speaks plain HTTP.
+	// Certificate, Key and Authority are the paths of PEM files. Without a certificate
+	// the daemon serves plain HTTP.
 	Certificate string
 	Key         string
 	Authority   string
-	// Drain bounds a graceful shutdown.
+	// Drain is the timeout of a graceful shutdown.
 	Drain time.Duration
-	// Body bounds a submission in bytes, Read the time it takes to arrive, and
-	// Requests the open requests.
+	// Body is the maximum size of a submission in bytes, Read the timeout for its
+	// arrival, and Requests the maximum number of open requests.
 	Body     int64
 	Read     time.Duration
 	Requests int
-	// Result bounds a task's result in bytes.
+	// Result is the maximum size of a task's result in bytes.
 	Result int64
-	// Dial bounds the making of a connection to a target, and Unacked how long
-	// sent data may stay unacknowledged.
+	// Dial limits the time to connect to a target, and Unacked the time for which sent
+	// data may stay unacknowledged.
 	Dial    time.Duration
 	Unacked time.Duration
-	// Verbosity is the level of detail of the log, and Lines bounds the lines a
-	// second of each level.
+	// Verbosity is the level of detail of the log, and Lines the maximum number of
+	// lines per second at each level.
 	Verbosity int
 	Lines     int
 	// Bounds are the limits of the scheduler.
 	Bounds scheduler.Bounds
 }
 
-// minSecret is the least length of the peer key in bytes.
-const minSecret = 16
+// minPeerKeyBytes is the minimum length of the peer key.
+const minPeerKeyBytes = 16
 
-// Load reads a settings file. The error tells every fault of the file.
+// Load reads a settings file. The error is of type parser.Faults and lists every fault
+// of the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,24 +73,25 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads settings from INI text. The error is parser.Faults.
+// Parse reads settings from INI text. The name of the file is used in error texts. The
+// error is of type parser.Faults and lists every fault.
 func Parse(name, text string) (*Settings, error) {
 	doc := parser.Parse(name, text)
 	v := &Settings{Bounds: scheduler.Standard()}
-	v.host(doc)
-	v.platform(doc)
-	v.peers(doc)
-	v.security(doc)
-	v.limits(doc)
-	v.targets(doc)
-	v.log(doc)
+	v.readHost(doc)
+	v.readPlatform(doc)
+	v.readPeers(doc)
+	v.readSecurity(doc)
+	v.readLimits(doc)
+	v.readTargets(doc)
+	v.readLog(doc)
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
-func (v *Settings) host(doc *parser.Document) {
+func (v *Settings) readHost(doc *parser.Document) {
 	s := doc.Section("host")
 	defer s.Close()
 	v.Name = s.Need("name", "give the host a name that is unique in the deployment")
@@ -102,7 +103,7 @@
 	v.Drain = s.Duration("drain", 30*time.Second, 10*time.Millisecond, time.Hour)
 }
 
-func (v *Settings) platform(doc *parser.Document) {
+func (v *Settings) readPlatform(doc *parser.Document) {
 	s := doc.Section("platform")
 	defer s.Close()
 	v.Platform = s.Need("address", "write the address of the platform's service")
@@ -112,11 +113,11 @@
 	v.PollSlowest = s.Duration("slowest", 2*time.Second, 10*time.Millisecond, time.Minute)
 }
 
-func (v *Settings) peers(doc *parser.Document) {
+func (v *Settings) readPeers(doc *parser.Document) {
 	s := doc.Section("peers")
 	defer s.Close()
 	v.Secret = []byte(s.Need("key", "write the key that all entry hosts share"))
-	if len(v.Secret) > 0 && len(v.Secret) < minSecret {
+	if len(v.Secret) > 0 && len(v.Secret) < minPeerKeyBytes {
 		doc.Fault("peers", "key", "too short", "write at least 16 bytes")
 	}
 	v.Peers = s.List("addresses")
@@ -131,7 +132,7 @@
 	}
 }
 
-func (v *Settings) security(doc *parser.Document) {
+func (v *Settings) readSecurity(doc *parser.Document) {
 	s := doc.Section("security")
 	defer s.Close()
 	v.Operator = s.Text("operator", "")
@@ -139,11 +140,11 @@
 	v.Key = s.Text("key", "")
 	v.Authority = s.Text("authority", "")
 	if (v.Certificate == "") != (v.Key == "") {
-		doc.Fault("security", "certificate", "certificate and key go together", "set both files or neither")
+		doc.Fault("security", "certificate", "only one of certificate and key is set", "set both files or neither")
 	}
 }
 
-func (v *Settings) limits(doc *parser.Document) {
+func (v *Settings) readLimits(doc *parser.Document) {
 	s := doc.Section("limits")
 	defer s.Close()
 	b := &v.Bounds
@@ -158,7 +159,7 @@
 	b.Pause = s.Duration("pause", b.Pause, 10*b.Tick, time.Minute)
 }
 
-func (v *Settings) targets(doc *parser.Document) {
+func (v *Settings) readTargets(doc *parser.Document) {
 	s := doc.Section("targets")
 	defer s.Close()
 	v.Dial = s.Duration("dial", 300*time.Millisecond, time.Millisecond, time.Minute)
@@ -167,20 +168,20 @@
 	v.Bounds.Within = s.Duration("within", v.Bounds.Within, time.Millisecond, time.Minute)
 }
 
-func (v *Settings) log(doc *parser.Document) {
+func (v *Settings) readLog(doc *parser.Document) {
 	s := doc.Section("log")
 	defer s.Close()
 	v.Verbosity = s.Int("verbosity", 0, 0, 9)
 	v.Lines = s.Int("lines", 2000, 1, 1_000_000)
 }
 
-// checkAddress notes an address that is not an IP number and a port.
+// checkAddress adds a fault if a non-empty address is not an IP address and a port.
 func checkAddress(doc *parser.Document, section, key, address string) {
 	if address == "" {
 		return
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
-		doc.Fault(section, key, "not an address", "write an IP number and a port, such as 127.0.0.1:7100")
+		doc.Fault(section, key, "not an address", "write an IP address and a port, such as 127.0.0.1:7100")
 	}
 }
--- a/internal/loader/settings_test.go
+++ b/internal/loader/settings_test.go
@@ -11,8 +11,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/parser"
 )
 
-// TestExamples loads the settings of both deployments.
-func TestExamples(t *testing.T) {
+// TestExampleSettingsLoad loads the example settings of both deployments.
+func TestExampleSettingsLoad(t *testing.T) {
 	for _, place := range []string{"restrepo", "kutchwala"} {
 		v, err := Load(filepath.Join("..", "..", "examples", place, "daemon.ini"))
 		require.NoError(t, err)
@@ -21,8 +21,9 @@
 	}
 }
 
-// TestEveryFault requires that all faults are told at once.
-func TestEveryFault(t *testing.T) {
+// TestAllFaultsAreReportedTogether requires that all faults of a file are returned
+// in one error.
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	_, err := Parse("d.ini", "[host]\nname = a\nlisten = localhost:1\ndrain = 30\n[peers]\nkey = short\nquiet = 1s\n[limits]\nbody = -1\nextra = 1\n")
 	var faults parser.Faults
 	require.ErrorAs(t, err, &faults)
@@ -45,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		v, err := Parse("f", text)
 		if (v == nil) == (err == nil) {
-			t.Fatal("either settings or faults are returned")
+			t.Fatal("Parse must return either settings or faults")
 		}
 	})
 }
--- a/internal/parser/parser.go
+++ b/internal/parser/parser.go
@@ -1,5 +1,5 @@
-// Package parser reads INI text into typed values and reports every fault at
-// once, each with its place and its remedy.
+// Package parser reads INI text into typed values. It reports all faults of a text
+// together, each with its position and how to correct it.
 package parser
 
 import (
@@ -12,15 +12,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is one mistake in a file.
 type Fault struct {
-	// File and Line tell where; Line is 0 when a key is missing.
+	// File and Line are its position; Line is 0 if the line is unknown, such as that of
+	// a missing key.
 	File string
 	Line int
 	// Section and Key name the setting.
 	Section string
 	Key     string
-	// Problem says what is wrong and Remedy what to write.
+	// Problem says what is wrong and Remedy how to correct it.
 	Problem string
 	Remedy  string
 }
@@ -38,10 +39,10 @@
 	return fmt.Sprintf("%s: %s: %s; %s", place, name, f.Problem, f.Remedy)
 }
 
-// Faults is the error that holds all faults of a file.
+// Faults is an error that lists all faults of a file.
 type Faults []Fault
 
-// Error returns one line a fault.
+// Error returns the faults as text, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -62,26 +63,27 @@
 // Document is a parsed file that collects faults while it is read. It is not
 // safe for concurrent use.
 type Document struct {
-	name   string
-	lines  []string
-	file   *ini.File
-	faults Faults
-	known  []string
-	values []Setting
+	name          string
+	lines         []string
+	file          *ini.File
+	faults        Faults
+	knownSections []string
+	values        []Setting
 }
 
-// Setting is a value in force.
+// Setting is the effective value of a key.
 type Setting struct {
 	Section string
 	Key     string
 	Value   string
-	// Given tells that the file gives the value, and Line where; 0 is not known.
+	// Given reports whether the file sets the value, and Line is the line that sets it;
+	// 0 means unknown.
 	Given bool
 	Line  int
 }
 
-// Origin names the line that gave the value, "file" where that is not known, or
-// "default".
+// Origin returns where the value comes from: its line, "file" if the line is unknown,
+// or "default".
 func (s Setting) Origin() string {
 	switch {
 	case !s.Given:
@@ -92,8 +94,8 @@
 	return "line " + strconv.Itoa(s.Line)
 }
 
-// Parse reads INI text. The name is used in faults. Text that is no INI gives a
-// Document whose Err tells so.
+// Parse reads INI text. The name of the file is used in faults. If the text is not valid
+// INI, Err of the returned Document says so.
 func Parse(name, text string) *Document {
 	d := &Document{name: name, lines: strings.Split(text, "\n")}
 	options := ini.LoadOptions{SkipUnrecognizableLines: false, IgnoreInlineComment: false}
@@ -106,20 +108,20 @@
 	return d
 }
 
-// Fault notes a problem found by the caller.
+// Fault adds a fault that the caller has found.
 func (d *Document) Fault(section, key, problem, remedy string) {
 	d.faults = append(d.faults, Fault{
-		File: d.name, Line: d.line(section, key),
+		File: d.name, Line: d.findLine(section, key),
 		Section: section, Key: key, Problem: problem, Remedy: remedy,
 	})
 }
 
-// Err returns Faults, or nil when there are none. It first notes every section
-// that was never asked for.
+// Err returns all faults as Faults, or nil if there are none. It first adds a fault for
+// each section of the file that was not read.
 func (d *Document) Err() error {
 	for _, s := range d.file.Sections() {
 		empty := s.Name() == ini.DefaultSection && len(s.Keys()) == 0
-		if empty || slices.Contains(d.known, s.Name()) {
+		if empty || slices.Contains(d.knownSections, s.Name()) {
 			continue
 		}
 		d.Fault(s.Name(), "", "unknown section", "remove it, or correct its name")
@@ -130,12 +132,12 @@
 	return d.faults
 }
 
-// Settings returns the values that were read so far, in the order of reading. They are
-// in force only if Err is nil.
+// Settings returns the values read so far, in the order of reading. They are valid only
+// if Err returns nil.
 func (d *Document) Settings() []Setting { return d.values }
 
-// Names returns the second words of all sections whose first word is kind, in
-// file order: Names("client") gives "a" for [client a].
+// Names returns the names of all sections of a kind, in file order: Names("client")
+// returns "a" for [client a].
 func (d *Document) Names(kind string) []string {
 	var names []string
 	for _, s := range d.file.Sections() {
@@ -146,12 +148,13 @@
 	return names
 }
 
-// Has reports whether the section stands in the file.
+// Has reports whether the file contains the section.
 func (d *Document) Has(section string) bool { return d.file.HasSection(section) }
 
-// Section returns a reader of one section, which may be absent.
+// Section returns a reader for the section. All keys of a section that is not in the
+// file are absent.
 func (d *Document) Section(name string) *Section {
-	d.known = append(d.known, name)
+	d.knownSections = append(d.knownSections, name)
 	s, err := d.file.GetSection(name)
 	if err != nil {
 		s = ini.Empty().Section(name)
@@ -159,8 +162,9 @@
 	return &Section{doc: d, section: s, name: name}
 }
 
-// line finds the line of a key, or of the section when the key is empty.
-func (d *Document) line(section, key string) int {
+// findLine returns the line of a key, or of the section's head if the key is empty; 0
+// means not found.
+func (d *Document) findLine(section, key string) int {
 	inside := false
 	for i, text := range d.lines {
 		text = strings.TrimSpace(text)
@@ -181,24 +185,24 @@
 
 // Section reads the keys of one section.
 type Section struct {
-	doc     *Document
-	section *ini.Section
-	name    string
-	known   []string
+	doc       *Document
+	section   *ini.Section
+	name      string
+	knownKeys []string
 }
 
-// Text returns the key's value, or the default when the key is absent.
-func (s *Section) Text(key, standard string) string {
-	s.known = append(s.known, key)
-	v := Setting{Section: s.name, Key: key, Value: standard}
+// Text returns the key's value, or defaultValue if the key is absent.
+func (s *Section) Text(key, defaultValue string) string {
+	s.knownKeys = append(s.knownKeys, key)
+	v := Setting{Section: s.name, Key: key, Value: defaultValue}
 	if s.section.HasKey(key) {
-		v.Value, v.Given, v.Line = s.section.Key(key).String(), true, s.doc.line(s.name, key)
+		v.Value, v.Given, v.Line = s.section.Key(key).String(), true, s.doc.findLine(s.name, key)
 	}
 	s.doc.values = append(s.doc.values, v)
 	return v.Value
 }
 
-// Need returns the key's value and notes a fault when it is absent or empty.
+// Need returns the key's value and adds a fault if it is absent or empty.
 func (s *Section) Need(key, remedy string) string {
 	value := s.Text(key, "")
 	if value == "" {
@@ -218,58 +222,64 @@
 	return list
 }
 
-// Duration returns a time such as 250ms between low and high.
-func (s *Section) Duration(key string, standard, low, high time.Duration) time.Duration {
-	remedy := fmt.Sprintf("write a time with its unit from %v to %v, such as %v", low, high, standard)
-	return number(s, key, standard, low, high, remedy, time.ParseDuration)
+// Duration returns the key's value, a duration such as 250ms from low to high. If the
+// value is invalid, it adds a fault and returns defaultValue.
+func (s *Section) Duration(key string, defaultValue, low, high time.Duration) time.Duration {
+	remedy := fmt.Sprintf("write a duration with its unit from %v to %v, such as %v", low, high, defaultValue)
+	return readNumber(s, key, defaultValue, low, high, remedy, time.ParseDuration)
 }
 
-// Int returns a whole number between low and high.
-func (s *Section) Int(key string, standard, low, high int) int {
+// Int returns the key's value, an integer from low to high. If the value is invalid, it
+// adds a fault and returns defaultValue.
+func (s *Section) Int(key string, defaultValue, low, high int) int {
 	remedy := fmt.Sprintf("write a whole number from %d to %d", low, high)
-	return number(s, key, standard, low, high, remedy, strconv.Atoi)
+	return readNumber(s, key, defaultValue, low, high, remedy, strconv.Atoi)
 }
 
-// Float returns a number between low and high.
-func (s *Section) Float(key string, standard, low, high float64) float64 {
+// Float returns the key's value, a number from low to high. If the value is invalid, it
+// adds a fault and returns defaultValue.
+func (s *Section) Float(key string, defaultValue, low, high float64) float64 {
 	remedy := fmt.Sprintf("write a number from %v to %v", low, high)
 	parse := func(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
-	return number(s, key, standard, low, high, remedy, parse)
+	return readNumber(s, key, defaultValue, low, high, remedy, parse)
 }
 
-// Bool returns true or false.
-func (s *Section) Bool(key string, standard bool) bool {
-	text := s.Text(key, strconv.FormatBool(standard))
+// Bool returns the key's value, true or false. If the value is invalid, it adds a fault
+// and returns defaultValue.
+func (s *Section) Bool(key string, defaultValue bool) bool {
+	text := s.Text(key, strconv.FormatBool(defaultValue))
 	value, err := strconv.ParseBool(text)
 	if err != nil {
-		s.doc.Fault(s.name, key, "not a truth value", "write true or false")
-		return standard
+		s.doc.Fault(s.name, key, "neither true nor false", "write true or false")
+		return defaultValue
 	}
 	return value
 }
 
-// Close notes every key of the section that was never asked for.
+// Close adds a fault for each key of the section that was not read.
 func (s *Section) Close() {
 	for _, k := range s.section.Keys() {
-		if !slices.Contains(s.known, k.Name()) {
-			s.doc.Fault(s.name, k.Name(), "unknown key", "remove it, or use one of: "+strings.Join(s.known, ", "))
+		if !slices.Contains(s.knownKeys, k.Name()) {
+			s.doc.Fault(s.name, k.Name(), "unknown key", "remove it, or use one of: "+strings.Join(s.knownKeys, ", "))
 		}
 	}
 }
 
-func number[T int | float64 | time.Duration](s *Section, key string, standard, low, high T, remedy string, parse func(string) (T, error)) T {
-	text := s.Text(key, fmt.Sprint(standard))
+// readNumber returns the parsed value of a key. If the key is absent or empty, or the
+// value invalid, it returns defaultValue; an invalid value also adds a fault.
+func readNumber[T int | float64 | time.Duration](s *Section, key string, defaultValue, low, high T, remedy string, parse func(string) (T, error)) T {
+	text := s.Text(key, fmt.Sprint(defaultValue))
 	if text == "" {
-		return standard
+		return defaultValue
 	}
 	value, err := parse(text)
 	if err != nil {
-		s.doc.Fault(s.name, key, fmt.Sprintf("%q cannot be read", text), remedy)
-		return standard
+		s.doc.Fault(s.name, key, fmt.Sprintf("%q cannot be parsed", text), remedy)
+		return defaultValue
 	}
 	if !(value >= low && value <= high) {
-		s.doc.Fault(s.name, key, fmt.Sprintf("%q is out of bounds", text), remedy)
-		return standard
+		s.doc.Fault(s.name, key, fmt.Sprintf("%q is out of range", text), remedy)
+		return defaultValue
 	}
 	return value
 }
--- a/internal/stager/stage.go
+++ b/internal/stager/stage.go
@@ -1,5 +1,5 @@
-// Package stager sets up a whole deployment on loopback in one process, for
-// examples and tests: a stand-in platform, stand-in targets and daemons.
+// Package stager runs a whole deployment in one process, for examples and tests: a
+// stand-in platform, stand-in targets and daemons that communicate over loopback.
 package stager
 
 import (
@@ -23,29 +23,30 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// Stage is a deployment. Its exported fields are set before Start.
+// Stage is a deployment. Unless noted otherwise, its exported fields must be set before
+// Start.
 type Stage struct {
 	// Zones are the availability zones.
 	Zones []string
-	// Hosts counts the entry hosts of each zone, in the order of Zones, and
-	// Targets the targets of every zone.
+	// Hosts are the numbers of entry hosts of the zones, in the order of Zones, and
+	// Targets is the number of targets in each zone.
 	Hosts   []int
 	Targets int
-	// Slots bounds the tasks that run together on a target.
+	// Slots is the maximum number of tasks that run at the same time on a target.
 	Slots int
-	// Clients are the names of the declared clients. Each one's token is its
-	// name followed by "-token".
+	// Clients are the names of the declared clients. A client's token is its name
+	// followed by "-token".
 	Clients []string
-	// Order is a further line of the service's declaration, if any.
+	// Order is appended to the service's declaration; it may be empty.
 	Order string
 	// Extra is appended to the declarations.
 	Extra string
 	// Settings is appended to the daemons' settings.
 	Settings string
-	// Log is the daemons' log.
+	// Log receives the log of all daemons.
 	Log logr.Logger
 
-	// Platform and Nodes are set by Start.
+	// Platform, Nodes and Backs are set by Start.
 	Platform *faker.Platform
 	Nodes    []*Node
 	Backs    []*Back
@@ -56,7 +57,7 @@
 	context         context.Context
 }
 
-// Node is one running daemon.
+// Node is a running daemon.
 type Node struct {
 	Name    string
 	Zone    string
@@ -64,11 +65,11 @@
 	Daemon  *assembler.Daemon
 
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 	err    error
 }
 
-// Back is one running stand-in target.
+// Back is a running stand-in target.
 type Back struct {
 	Name    string
 	Zone    string
@@ -79,10 +80,11 @@
 // Service is the name of the declared service.
 const Service = "despacho"
 
-// readyBound bounds the start of a daemon.
-const readyBound = 10 * time.Second
+// startTimeout limits the time until all daemons are ready.
+const startTimeout = 10 * time.Second
 
-// Start sets everything up and waits until all daemons are ready.
+// Start starts the platform, the targets and the daemons and waits until all daemons
+// are ready.
 func (s *Stage) Start(ctx context.Context) error {
 	s.context, s.cancel = context.WithCancel(ctx)
 	s.Platform = &faker.Platform{}
@@ -106,11 +108,11 @@
 			}
 		}
 	}
-	return s.Await(readyBound, func() bool { return s.settled() })
+	return s.Await(startTimeout, func() bool { return s.isReady() })
 }
 
-// settled reports whether every daemon serves and knows its zone's peers.
-func (s *Stage) settled() bool {
+// isReady reports whether every daemon serves and knows all hosts of its zone.
+func (s *Stage) isReady() bool {
 	for _, n := range s.Nodes {
 		v := n.Daemon.Runner().View()
 		if v.Phase != scheduler.Serving || v.Hosts != s.Hosts[slices.Index(s.Zones, n.Zone)] {
@@ -120,17 +122,18 @@
 	return true
 }
 
-// Await waits until the condition holds.
-func (s *Stage) Await(bound time.Duration, holds func() bool) error {
-	const period = 10 * time.Millisecond
-	for start := time.Now(); time.Since(start) < bound; {
-		if holds() {
+// Await waits until the condition holds. It returns an error if that takes longer than
+// the timeout.
+func (s *Stage) Await(timeout time.Duration, condition func() bool) error {
+	const pollInterval = 10 * time.Millisecond
+	for start := time.Now(); time.Since(start) < timeout; {
+		if condition() {
 			return nil
 		}
-		timer := time.NewTimer(period)
+		timer := time.NewTimer(pollInterval)
 		<-timer.C
 	}
-	return shallotrouter.Errorf(shallotrouter.Deadline, "the condition did not come to hold within %v; look at the daemons' logs", bound)
+	return shallotrouter.Errorf(shallotrouter.Deadline, "the condition did not hold within %v; see the daemons' logs", timeout)
 }
 
 func (s *Stage) startTargets(zone string) error {
@@ -147,19 +150,19 @@
 	return nil
 }
 
-// Relist writes the zone's targets, without the named leaving ones being live,
-// to the platform's host list.
+// Relist writes the hosts and targets of a zone to the platform's host list, with the
+// named targets marked as leaving.
 func (s *Stage) Relist(zone string, leaving ...string) {
 	var hosts []scheduler.Host
 	for _, b := range s.Backs {
 		if b.Zone != zone {
 			continue
 		}
-		h := scheduler.Host{Name: b.Name, Role: scheduler.Target, Address: b.Address, Service: Service}
+		host := scheduler.Host{Name: b.Name, Role: scheduler.Target, Address: b.Address, Service: Service}
 		for _, name := range leaving {
-			h.Leaving = h.Leaving || name == b.Name
+			host.Leaving = host.Leaving || name == b.Name
 		}
-		hosts = append(hosts, h)
+		hosts = append(hosts, host)
 	}
 	for _, n := range s.Nodes {
 		if n.Zone == zone {
@@ -169,26 +172,26 @@
 	s.Platform.List(zone, hosts)
 }
 
-// serve opens a server on a free loopback port.
+// serve starts a server on a free loopback port and returns its address.
 func (s *Stage) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	w := &web{server: &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}, listener: listener}
+	w := &standInServer{server: &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}, listener: listener}
 	s.closers = append(s.closers, w.server.Close)
 	go w.run()
 	return listener.Addr().String(), nil
 }
 
-// web is one stand-in's server.
-type web struct {
+// standInServer is the HTTP server of a stand-in.
+type standInServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (w *web) run() {
-	_ = w.server.Serve(w.listener) // ends with ErrServerClosed when the stage closes
+func (w *standInServer) run() {
+	_ = w.server.Serve(w.listener) // returns ErrServerClosed when the stage is closed
 }
 
 // Declarations returns the stage's declarations as INI text.
@@ -201,7 +204,8 @@
 	return b.String() + s.Extra
 }
 
-// Apply puts the declarations and the preset in force.
+// Apply writes the declarations and the preset to the platform, as the current
+// configuration.
 func (s *Stage) Apply(preset declarer.Name) error {
 	client := storer.NewClient(s.platformAddress, time.Second)
 	record, err := client.Read(s.context, storer.Row, 0)
@@ -216,21 +220,21 @@
 	return err
 }
 
-// PlatformAddress returns where the stand-in platform serves.
+// PlatformAddress returns the address of the stand-in platform.
 func (s *Stage) PlatformAddress() string { return s.platformAddress }
 
-// StartNode starts one daemon on a free port.
+// StartNode starts a daemon on a free loopback port and waits until it accepts requests.
 func (s *Stage) StartNode(name, zone string) (*Node, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	address := listener.Addr().String()
-	settings, err := loader.Parse(name, s.settings(name, zone, address))
+	settings, err := loader.Parse(name, s.nodeSettings(name, zone, address))
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Name: name, Zone: zone, Address: address, ended: make(chan struct{})}
+	n := &Node{Name: name, Zone: zone, Address: address, done: make(chan struct{})}
 	n.Daemon = &assembler.Daemon{Settings: settings, Clock: clockwork.NewRealClock(), Log: s.Log, Listener: listener}
 	n.Daemon.Init()
 	ctx, cancel := context.WithCancel(s.context)
@@ -238,7 +242,7 @@
 	go n.run(ctx)
 	select {
 	case <-n.Daemon.Ready():
-	case <-n.ended:
+	case <-n.done:
 		return nil, n.err
 	}
 	s.Nodes = append(s.Nodes, n)
@@ -247,21 +251,21 @@
 
 // run serves until the node is killed or drained.
 func (n *Node) run(ctx context.Context) {
-	defer close(n.ended)
+	defer close(n.done)
 	n.err = n.Daemon.Run(ctx)
 }
 
-// Kill ends the daemon without a shutdown and waits for its end.
+// Kill stops the daemon without a graceful shutdown and waits until it has stopped.
 func (n *Node) Kill() {
 	n.cancel()
-	<-n.ended
+	<-n.done
 }
 
-// Ended is closed when the daemon has ended.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+// Ended returns a channel that is closed when the daemon has stopped.
+func (n *Node) Ended() <-chan struct{} { return n.done }
 
-// settings returns the settings of one daemon as INI text.
-func (s *Stage) settings(name, zone, address string) string {
+// nodeSettings returns the settings of a daemon as INI text.
+func (s *Stage) nodeSettings(name, zone, address string) string {
 	var seeds []string
 	for _, n := range s.Nodes {
 		seeds = append(seeds, n.Address)
@@ -280,12 +284,12 @@
 %s`, name, zone, address, s.platformAddress, strings.Join(seeds, ", "), declarer.HashToken("operator-token"), s.Settings)
 }
 
-// Client returns a client of one node.
+// Client returns a client that sends its requests to the node under the given name.
 func (s *Stage) Client(n *Node, name string) *shallotrouter.Client {
 	return &shallotrouter.Client{Address: "http://" + n.Address, Token: name + "-token"}
 }
 
-// Starts returns how often each task was started, over all targets.
+// Starts returns how many times each task was started, summed over all targets.
 func (s *Stage) Starts() map[string]int {
 	starts := make(map[string]int)
 	for _, b := range s.Backs {
@@ -296,13 +300,13 @@
 	return starts
 }
 
-// Close ends all daemons and stand-ins.
+// Close stops all daemons and stand-ins.
 func (s *Stage) Close() {
 	s.cancel()
 	for _, n := range s.Nodes {
-		<-n.ended
+		<-n.done
 	}
 	for _, c := range s.closers {
-		_ = c() // the stage is over either way
+		_ = c() // the servers are not used again
 	}
 }
