--- a/cmd/shallotrouter/cut_test.go
+++ b/cmd/shallotrouter/cut_test.go
@@ -16,54 +16,54 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// gate passes connections on to an address until it is shut. A shut gate accepts
-// connections and stays silent, as a path does that has lost its connections.
-type gate struct {
-	listener net.Listener
-	to       string
-	mutex    sync.Mutex
-	shut     bool
-	open     []net.Conn
+// tcpProxy forwards connections to an address. While it is blocked, it accepts new
+// connections but sends nothing over them, like a partitioned network.
+type tcpProxy struct {
+	listener    net.Listener
+	destination string
+	mutex       sync.Mutex
+	blocked     bool
+	connections []net.Conn
 }
 
-func newGate(t *testing.T, to string) *gate {
+func newTCPProxy(t *testing.T, destination string) *tcpProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g := &gate{listener: listener, to: to}
-	t.Cleanup(func() { _ = listener.Close(); g.set(true) })
-	go g.run()
-	return g
+	p := &tcpProxy{listener: listener, destination: destination}
+	t.Cleanup(func() { _ = listener.Close(); p.setBlocked(true) })
+	go p.run()
+	return p
 }
 
-func (g *gate) run() {
+func (p *tcpProxy) run() {
 	for {
-		c, err := g.listener.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		g.mutex.Lock()
-		shut := g.shut
-		g.open = append(g.open, c)
-		g.mutex.Unlock()
-		if shut {
+		p.mutex.Lock()
+		blocked := p.blocked
+		p.connections = append(p.connections, c)
+		p.mutex.Unlock()
+		if blocked {
 			continue
 		}
-		if far, err := net.Dial("tcp", g.to); err == nil {
-			go (&pipe{from: c, to: far}).run()
-			go (&pipe{from: far, to: c}).run()
+		if upstream, err := net.Dial("tcp", p.destination); err == nil {
+			go (&pipe{from: c, to: upstream}).run()
+			go (&pipe{from: upstream, to: c}).run()
 		}
 	}
 }
 
-// set shuts the gate, which ends what is open, or opens it again.
-func (g *gate) set(shut bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.shut = shut
-	for _, c := range g.open {
+// setBlocked blocks or unblocks the proxy. Both close all open connections.
+func (p *tcpProxy) setBlocked(blocked bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.blocked = blocked
+	for _, c := range p.connections {
 		_ = c.Close()
 	}
-	g.open = nil
+	p.connections = nil
 }
 
 // pipe copies one direction of a connection.
@@ -75,7 +75,7 @@
 	_ = p.from.Close()
 }
 
-// setPreset puts a preset in force at the platform and returns its version.
+// setPreset writes a preset to the platform and returns the version of the change.
 func (d *deployment) setPreset(preset declarer.Name) uint64 {
 	client := storer.NewClient(d.platform.address, 5*time.Second)
 	record, err := client.Read(d.t.Context(), storer.Row, 0)
@@ -91,48 +91,48 @@
 	return version
 }
 
-// TestZoneCutOff cuts a zone off from the platform and the other zone, twice. It
-// has to go on serving, with the configuration that it has, and to take the
-// newest one within 3 s of each healing.
-func TestZoneCutOff(t *testing.T) {
+// TestPartitionedZoneKeepsServing cuts a zone off from the platform and the other zone,
+// twice. The zone must keep serving with its current configuration, and must adopt the
+// newest one within 3 s after each partition ends.
+func TestPartitionedZoneKeepsServing(t *testing.T) {
 	d := deploy(t, "", 2, 1, "bogota-norte")
-	direct := d.platform.address
-	g := newGate(t, direct)
-	first := d.daemons
-	d.daemons = nil // no host of the zone knows one of the other
-	d.platform.address = g.listener.Addr().String()
+	platformAddress := d.platform.address
+	proxy := newTCPProxy(t, platformAddress)
+	otherZone := d.daemons
+	d.daemons = nil // no host of this zone knows a host of the other zone
+	d.platform.address = proxy.listener.Addr().String()
 	for range 2 {
 		d.targets = append(d.targets, d.spawn("target", "cali-t"+string(rune('0'+len(d.targets))), "cali-oeste", ""))
 	}
-	d.list("cali-oeste")
+	d.writeHostList("cali-oeste")
 	for _, name := range []string{"cali-h0", "cali-h1"} {
-		d.daemon(name, "cali-oeste")
+		d.startDaemon(name, "cali-oeste")
 	}
-	d.platform.address = direct
+	d.platform.address = platformAddress
 	for _, p := range d.daemons {
 		d.await(func() bool { v := d.status(p); return v.Phase == scheduler.Serving && len(v.Peers) == 1 })
 	}
 	for i, preset := range []declarer.Name{declarer.Peak, declarer.Ordinary} {
 		before := d.status(d.daemons[0]).Version
-		g.set(true)
+		proxy.setBlocked(true)
 		version := d.setPreset(preset)
-		d.await(func() bool { return d.status(first[0]).Version == version })
+		d.await(func() bool { return d.status(otherZone[0]).Version == version })
 		for _, p := range d.daemons {
-			list, wait := d.load(p, "comites", 5, 4, 20*time.Millisecond, 10*time.Second)
+			list, wait := d.submitInBackground(p, "comites", 5, 4, 20*time.Millisecond, 10*time.Second)
 			wait()
 			for _, s := range list {
 				require.NoError(t, s.err)
-				assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, "cut %d: %s", i, s.answer.Message)
+				assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, "partition %d: %s", i, s.answer.Message)
 			}
 			assert.Equal(t, before, d.status(p).Version)
 		}
-		g.set(false)
-		healed := time.Now()
+		proxy.setBlocked(false)
+		healedAt := time.Now()
 		d.await(func() bool {
 			return d.status(d.daemons[0]).Version == version && d.status(d.daemons[1]).Version == version
 		})
-		assert.Less(t, time.Since(healed), 3*time.Second)
+		assert.Less(t, time.Since(healedAt), 3*time.Second)
 	}
-	d.daemons = append(d.daemons, first...)
-	d.requireOnce()
+	d.daemons = append(d.daemons, otherZone...)
+	d.requireNoRepeatedStarts()
 }
--- a/cmd/shallotrouter/failure_test.go
+++ b/cmd/shallotrouter/failure_test.go
@@ -20,9 +20,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// load submits jobs in the background and returns a function that waits for
-// their answers.
-func (d *deployment) load(host *process, client string, jobs, tasks int, run, deadline time.Duration) ([]*submission, func()) {
+// submitInBackground submits jobs in the background. It returns the submissions and
+// a function that waits for their answers.
+func (d *deployment) submitInBackground(host *process, client string, jobs, tasks int, run, deadline time.Duration) ([]*submission, func()) {
 	var list []*submission
 	runs := make([]time.Duration, tasks)
 	for i := range runs {
@@ -31,7 +31,7 @@
 	for i := range jobs {
 		list = append(list, &submission{
 			caller: d.client(host, client),
-			job:    newJob(d.ticket(host, client), fmt.Sprint("load", i), deadline, runs...),
+			job:    newJob(d.newTicket(host, client), fmt.Sprint("load", i), deadline, runs...),
 		})
 	}
 	var group sync.WaitGroup
@@ -42,14 +42,14 @@
 	return list, group.Wait
 }
 
-// started waits until the targets have started at least so many tasks.
-func (d *deployment) started(n int) {
+// awaitStarts waits until the targets have started at least n tasks.
+func (d *deployment) awaitStarts(n int) {
 	d.t.Helper()
-	d.await(func() bool { return len(d.counts().Starts) >= n })
+	d.await(func() bool { return len(d.totalCounts().Starts) >= n })
 }
 
-// tasks returns a client's tasks that wait or run at a host.
-func (d *deployment) tasks(host *process, client string) int {
+// taskCount returns the number of a client's tasks that wait or run at a host.
+func (d *deployment) taskCount(host *process, client string) int {
 	for _, c := range d.status(host).Clients {
 		if c.Client == client {
 			return c.Waiting + c.Running
@@ -58,22 +58,23 @@
 	return 0
 }
 
-// startsOf counts the started tasks of the job with a host's ticket number.
-func startsOf(starts map[string]int, host *process, number int) int {
+// startsOfJob counts the started tasks of the job whose ticket has the given number at
+// its host.
+func startsOfJob(starts map[string]int, host *process, ticketNumber int) int {
 	n := 0
 	for name := range starts {
-		if strings.HasPrefix(name, host.name+"/") && strings.Contains(name, fmt.Sprintf("/%d/", number)) {
+		if strings.HasPrefix(name, host.name+"/") && strings.Contains(name, fmt.Sprintf("/%d/", ticketNumber)) {
 			n++
 		}
 	}
 	return n
 }
 
-// requireTruth fails the test if a refused job has started or a complete one
-// lacks results. The submissions must be all that the host was given, in order.
-func (d *deployment) requireTruth(host *process, list []*submission) {
+// requireTruthfulAnswers fails the test if a refused job was started or a complete job
+// lacks results. The list must contain all submissions to the host, in order.
+func (d *deployment) requireTruthfulAnswers(host *process, list []*submission) {
 	d.t.Helper()
-	starts := d.counts().Starts
+	starts := d.totalCounts().Starts
 	for i, s := range list {
 		if s.err != nil {
 			continue
@@ -82,18 +83,19 @@
 		case shallotrouter.Complete:
 			require.Len(d.t, s.answer.Results, len(s.job.Tasks))
 		case shallotrouter.Refused:
-			require.Zero(d.t, startsOf(starts, host, i+1), "job %d was refused: %s", i+1, s.answer.Message)
+			require.Zero(d.t, startsOfJob(starts, host, i+1), "job %d was refused: %s", i+1, s.answer.Message)
 		case shallotrouter.Failed, shallotrouter.Lost:
 		default:
-			d.t.Fatalf("job %d has the outcome %q", i+1, s.answer.Outcome)
+			d.t.Fatalf("job %d has the unexpected outcome %q", i+1, s.answer.Outcome)
 		}
 	}
 }
 
-// TestSameTicket sends one ticket to three hosts at once.
-func TestSameTicket(t *testing.T) {
+// TestTicketSentToThreeHostsRunsOnce sends a job with one ticket to three hosts at
+// once. All must return the same complete answer, and each task must start once.
+func TestTicketSentToThreeHostsRunsOnce(t *testing.T) {
 	d := deploy(t, "", 2, 3, "bogota-norte")
-	job := newJob(d.ticket(d.daemons[0], "comites"), "same", 10*time.Second, 100*time.Millisecond, 50*time.Millisecond)
+	job := newJob(d.newTicket(d.daemons[0], "comites"), "same", 10*time.Second, 100*time.Millisecond, 50*time.Millisecond)
 	var list []*submission
 	for _, p := range d.daemons {
 		list = append(list, &submission{caller: d.client(p, "comites"), job: job})
@@ -104,20 +106,21 @@
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 		assert.Equal(t, "same-0", string(s.answer.Results[0]))
 	}
-	assert.Len(t, d.counts().Starts, 2)
-	d.requireOnce()
+	assert.Len(t, d.totalCounts().Starts, 2)
+	d.requireNoRepeatedStarts()
 }
 
-// TestHostKilled kills an entry host with queued and running tasks, and submits
-// the same tickets to every other host and to the host's successor.
-func TestHostKilled(t *testing.T) {
+// TestJobsOfKilledHostAreLost kills an entry host with queued and running tasks and
+// submits the same tickets to every other host and to the restarted host. All must answer
+// that the jobs are lost, and no task may start twice.
+func TestJobsOfKilledHostAreLost(t *testing.T) {
 	d := deploy(t, "", 1, 3, "bogota-norte")
 	victim := d.daemons[0]
-	list, wait := d.load(victim, "comites", 4, 10, 300*time.Millisecond, 20*time.Second)
-	d.started(3)
+	list, wait := d.submitInBackground(victim, "comites", 4, 10, 300*time.Millisecond, 20*time.Second)
+	d.awaitStarts(3)
 	victim.kill()
 	wait()
-	before := len(d.counts().Starts)
+	before := len(d.totalCounts().Starts)
 	for _, p := range d.daemons[1:] {
 		for _, s := range list {
 			a, err := d.client(p, "comites").Submit(t.Context(), s.job)
@@ -126,7 +129,7 @@
 			assert.Equal(t, shallotrouter.Unreachable, a.Reason)
 		}
 	}
-	next := d.daemonAt(victim.name, victim.zone, victim.address)
+	next := d.startDaemonAt(victim.name, victim.zone, victim.address)
 	d.await(func() bool { return d.status(next).Phase == scheduler.Serving })
 	for _, s := range list {
 		a, err := d.client(next, "comites").Submit(t.Context(), s.job)
@@ -134,19 +137,20 @@
 		assert.Equal(t, shallotrouter.Lost, a.Outcome)
 		assert.Equal(t, shallotrouter.Restarted, a.Reason)
 	}
-	a, err := d.client(next, "comites").Submit(t.Context(), newJob(d.ticket(next, "comites"), "new", 10*time.Second, time.Millisecond))
+	a, err := d.client(next, "comites").Submit(t.Context(), newJob(d.newTicket(next, "comites"), "new", 10*time.Second, time.Millisecond))
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Complete, a.Outcome, a.Message)
-	assert.LessOrEqual(t, len(d.counts().Starts), before+8+1) // at most what was in flight
-	d.requireOnce()
+	assert.LessOrEqual(t, len(d.totalCounts().Starts), before+8+1) // at most the tasks in flight and the new one
+	d.requireNoRepeatedStarts()
 }
 
-// TestTargetKilled kills a target in the middle of its tasks.
-func TestTargetKilled(t *testing.T) {
+// TestJobsOfKilledTargetAreAnswered kills a target while it runs tasks. Each job must be
+// answered as complete or failed, and later jobs must complete on the other target.
+func TestJobsOfKilledTargetAreAnswered(t *testing.T) {
 	d := deploy(t, "", 2, 1, "bogota-norte")
 	host := d.daemons[0]
-	list, wait := d.load(host, "comites", 6, 2, 400*time.Millisecond, 20*time.Second)
-	d.started(12)
+	list, wait := d.submitInBackground(host, "comites", 6, 2, 400*time.Millisecond, 20*time.Second)
+	d.awaitStarts(12)
 	d.targets[0].kill()
 	wait()
 	complete, failed := 0, 0
@@ -159,79 +163,82 @@
 			failed++
 			assert.Equal(t, shallotrouter.Unknown, s.answer.Reason)
 		default:
-			t.Errorf("outcome %s", s.answer.Outcome)
+			t.Errorf("unexpected outcome %s", s.answer.Outcome)
 		}
 	}
 	assert.Positive(t, failed)
 	assert.Equal(t, 6, complete+failed)
-	again, wait := d.load(host, "comites", 5, 3, 10*time.Millisecond, 20*time.Second)
+	again, wait := d.submitInBackground(host, "comites", 5, 3, 10*time.Millisecond, 20*time.Second)
 	wait()
 	for _, s := range again {
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 	}
-	d.requireOnce()
+	d.requireNoRepeatedStarts()
 }
 
-// TestHostFrozen stops an entry host for longer than its pause bound and its
-// jobs' deadlines, then lets it go on.
-func TestHostFrozen(t *testing.T) {
+// TestPausedHostStartsNothingAfterResume pauses an entry host for longer than its
+// pause limit and its jobs' deadlines, then resumes it. It must then start no task and
+// refuse the waiting jobs.
+func TestPausedHostStartsNothingAfterResume(t *testing.T) {
 	d := deploy(t, "", 1, 2, "bogota-norte")
 	host := d.daemons[0]
-	list, wait := d.load(host, "comites", 3, 1, 5*time.Second, 2500*time.Millisecond)
-	// 51 tasks of 5 s take 64 s on the host's half of the slots, which is all that it
-	// counts on until the other has reported that it needs none.
-	patient, waitPatient := d.load(host, "cruzroja", 12, 4, 5*time.Second, 2*time.Minute)
-	d.await(func() bool { return d.tasks(host, "comites") == 3 && d.tasks(host, "cruzroja") == 48 })
-	d.started(8)
+	list, wait := d.submitInBackground(host, "comites", 3, 1, 5*time.Second, 2500*time.Millisecond)
+	// The 51 tasks of 5 s take 64 s on the host's half of the slots. Until the other host
+	// has reported that it needs none, the host relies on its own half only.
+	patient, waitPatient := d.submitInBackground(host, "cruzroja", 12, 4, 5*time.Second, 2*time.Minute)
+	d.await(func() bool { return d.taskCount(host, "comites") == 3 && d.taskCount(host, "cruzroja") == 48 })
+	d.awaitStarts(8)
 	host.signal(t, syscall.SIGSTOP)
-	<-time.After(3 * time.Second) // past the pause bound and the deadlines
-	atThaw := len(d.counts().Starts)
+	<-time.After(3 * time.Second) // longer than the pause limit and the deadlines
+	startsAtResume := len(d.totalCounts().Starts)
 	host.signal(t, syscall.SIGCONT)
 	wait()
 	waitPatient()
 	list = append(list, patient...)
-	d.requireTruth(host, list)
-	assert.Len(t, d.counts().Starts, atThaw, "nothing starts after the thaw")
+	d.requireTruthfulAnswers(host, list)
+	assert.Len(t, d.totalCounts().Starts, startsAtResume, "no task starts after the resume")
 	paused := 0
 	for _, s := range list {
 		if s.answer.Reason == shallotrouter.Paused && s.answer.Outcome == shallotrouter.Refused {
 			paused++
 		}
 	}
-	assert.Positive(t, paused, "waiting jobs are refused as not run")
+	assert.Positive(t, paused, "waiting jobs are refused as paused")
 	d.await(func() bool { return d.status(host).Phase == scheduler.Serving })
-	d.requireOnce()
+	d.requireNoRepeatedStarts()
 }
 
-// TestFrozenHome submits a frozen host's ticket to another host, which has to
-// answer soon and must not run the job.
-func TestFrozenHome(t *testing.T) {
+// TestTicketOfPausedHostIsAnsweredElsewhere submits a paused host's ticket to another host,
+// which must answer soon and must not run the job. When the paused host has resumed, a
+// retry with the same ticket must complete.
+func TestTicketOfPausedHostIsAnsweredElsewhere(t *testing.T) {
 	d := deploy(t, "", 1, 2, "bogota-norte")
-	home, other := d.daemons[0], d.daemons[1]
-	job := newJob(d.ticket(home, "comites"), "x", time.Minute, time.Millisecond)
-	home.signal(t, syscall.SIGSTOP)
+	issuer, other := d.daemons[0], d.daemons[1]
+	job := newJob(d.newTicket(issuer, "comites"), "x", time.Minute, time.Millisecond)
+	issuer.signal(t, syscall.SIGSTOP)
 	start := time.Now()
 	a, err := d.client(other, "comites").Submit(t.Context(), job)
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Lost, a.Outcome)
 	assert.Positive(t, a.After)
-	assert.Less(t, time.Since(start), 10*time.Second, "long before the deadline")
-	home.signal(t, syscall.SIGCONT)
-	d.await(func() bool { // the client comes back with the same ticket
+	assert.Less(t, time.Since(start), 10*time.Second, "the answer arrives long before the deadline")
+	issuer.signal(t, syscall.SIGCONT)
+	d.await(func() bool { // the client retries with the same ticket
 		a, err = d.client(other, "comites").Submit(t.Context(), job)
 		return err == nil && a.Outcome == shallotrouter.Complete
 	})
-	d.requireOnce()
+	d.requireNoRepeatedStarts()
 }
 
-// TestShutdown asks a host under load to shut down.
-func TestShutdown(t *testing.T) {
+// TestShutdownFinishesOpenJobs asks a host under load to shut down. It must become
+// unready, refuse new jobs, complete the open ones and exit with 0.
+func TestShutdownFinishesOpenJobs(t *testing.T) {
 	d := deploy(t, "", 1, 2, "bogota-norte")
 	host := d.daemons[0]
 	const jobs = 10
-	list, wait := d.load(host, "comites", jobs, 4, 600*time.Millisecond, 20*time.Second)
-	// A job that arrives after the signal is rightly refused, so all of them have
-	// to be here before it.
+	list, wait := d.submitInBackground(host, "comites", jobs, 4, 600*time.Millisecond, 20*time.Second)
+	// A job that arrives after the signal is refused, so wait until all of them have
+	// arrived.
 	d.await(func() bool { return d.status(host).Open == jobs })
 	host.signal(t, syscall.SIGTERM)
 	d.await(func() bool {
@@ -251,25 +258,26 @@
 		require.NoError(t, s.err)
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 	}
-	<-host.ended
+	<-host.done
 	assert.Equal(t, 0, host.command.ProcessState.ExitCode())
 	d.await(func() bool {
 		return len(d.status(d.daemons[1]).Peers) == 0 || d.status(d.daemons[1]).Peers[0].State == scheduler.Quiet
 	})
-	d.requireOnce()
+	d.requireNoRepeatedStarts()
 }
 
-// TestSecondSignal ends a shutdown at once; each open job is answered truthfully.
-func TestSecondSignal(t *testing.T) {
+// TestSecondSignalAnswersOpenJobs sends a second signal during a graceful shutdown.
+// The host must exit at once, and each open job must get a truthful answer.
+func TestSecondSignalAnswersOpenJobs(t *testing.T) {
 	d := deploy(t, "", 1, 1, "bogota-norte")
 	host := d.daemons[0]
-	list, wait := d.load(host, "comites", 6, 8, 2*time.Second, 30*time.Second)
-	d.started(8)
+	list, wait := d.submitInBackground(host, "comites", 6, 8, 2*time.Second, 30*time.Second)
+	d.awaitStarts(8)
 	host.signal(t, syscall.SIGTERM)
 	d.await(func() bool { return strings.Contains(host.log.String(), "draining") })
 	host.signal(t, syscall.SIGTERM)
 	wait()
-	<-host.ended
+	<-host.done
 	refused := 0
 	for _, s := range list {
 		require.NoError(t, s.err)
@@ -279,54 +287,57 @@
 		}
 	}
 	assert.Positive(t, refused)
-	d.requireTruth(host, list)
-	d.requireOnce()
+	d.requireTruthfulAnswers(host, list)
+	d.requireNoRepeatedStarts()
 }
 
-// TestLeaving marks a target as leaving in the platform's list, and lets another
-// tell it by its own word.
-func TestLeaving(t *testing.T) {
+// TestLeavingTargetsGetNoTasks marks one target as leaving in the platform's list
+// and makes another announce it itself. After 3 s the first may be given no more tasks,
+// and the second may refuse at most two more, one for each host.
+func TestLeavingTargetsGetNoTasks(t *testing.T) {
 	d := deploy(t, "", 3, 2, "bogota-norte")
-	d.list("bogota-norte", d.targets[0].name)
-	d.put(d.targets[1], "/trouble", faker.Trouble{Leaving: true})
-	<-time.After(3 * time.Second) // the bound for leaving targets
-	_, wait := d.load(d.daemons[0], "comites", 1, 1, time.Millisecond, 10*time.Second)
+	d.writeHostList("bogota-norte", d.targets[0].name)
+	d.putJSON(d.targets[1], "/trouble", faker.Trouble{Leaving: true})
+	<-time.After(3 * time.Second) // the limit until hosts must avoid a leaving target
+	_, wait := d.submitInBackground(d.daemons[0], "comites", 1, 1, time.Millisecond, 10*time.Second)
 	wait()
-	first, second := d.countsOf(d.targets[0]), d.countsOf(d.targets[1])
+	first, second := d.targetCounts(d.targets[0]), d.targetCounts(d.targets[1])
 	for _, host := range d.daemons {
-		list, wait := d.load(host, "comites", 10, 5, time.Millisecond, 10*time.Second)
+		list, wait := d.submitInBackground(host, "comites", 10, 5, time.Millisecond, 10*time.Second)
 		wait()
 		for _, s := range list {
 			assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 		}
 	}
-	assert.Len(t, d.countsOf(d.targets[0]).Starts, len(first.Starts))
-	assert.LessOrEqual(t, d.countsOf(d.targets[1]).Left, second.Left+2)
-	d.requireOnce()
+	assert.Len(t, d.targetCounts(d.targets[0]).Starts, len(first.Starts))
+	assert.LessOrEqual(t, d.targetCounts(d.targets[1]).Left, second.Left+2)
+	d.requireNoRepeatedStarts()
 }
 
-// TestOutage takes the platform down, and starts a fresh host meanwhile.
-func TestOutage(t *testing.T) {
+// TestHostStartsDuringPlatformOutage starts a host while the platform is down. The
+// host must still begin to serve and complete jobs.
+func TestHostStartsDuringPlatformOutage(t *testing.T) {
 	d := deploy(t, "", 2, 2, "bogota-norte")
-	d.put(d.platform, "/faults", faker.Faults{Outage: true})
-	fresh := d.daemon("bogota-norte-new", "bogota-norte")
+	d.putJSON(d.platform, "/faults", faker.Faults{Outage: true})
+	fresh := d.startDaemon("bogota-norte-new", "bogota-norte")
 	d.await(func() bool { return d.status(fresh).Phase == scheduler.Serving })
-	list, wait := d.load(fresh, "comites", 5, 3, 10*time.Millisecond, 10*time.Second)
+	list, wait := d.submitInBackground(fresh, "comites", 5, 3, 10*time.Millisecond, 10*time.Second)
 	wait()
 	for _, s := range list {
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 	}
-	d.requireOnce()
+	d.requireNoRepeatedStarts()
 }
 
-// TestPresetEverywhere switches presets while the platform is slow and loses
-// answers, and requires the change on all hosts within 3 s and no step back.
-func TestPresetEverywhere(t *testing.T) {
+// TestPresetReachesAllHosts switches presets while the platform is slow and returns
+// stale reads. All hosts must apply each change within 3 s, and no host may go back to an
+// older version.
+func TestPresetReachesAllHosts(t *testing.T) {
 	d := deploy(t, "", 1, 3, "bogota-norte", "medellin-sur", "cali-oeste")
 	client := storer.NewClient(d.platform.address, 5*time.Second)
 	versions := make(map[string]uint64)
 	for i, preset := range []declarer.Name{declarer.Peak, declarer.Maintenance, declarer.Ordinary, declarer.Peak} {
-		d.put(d.platform, "/faults", faker.Faults{Delay: 200 * time.Millisecond, Stale: 2 * i})
+		d.putJSON(d.platform, "/faults", faker.Faults{Delay: 200 * time.Millisecond, Stale: 2 * i})
 		record, err := client.Read(t.Context(), storer.Row, 0)
 		require.NoError(t, err)
 		current, err := declarer.Decode(record.Version, record.Value)
@@ -336,7 +347,7 @@
 		value, err := row.Encode()
 		require.NoError(t, err)
 		version, err := client.Swap(t.Context(), storer.Row, record.Version, value)
-		for err != nil { // a stale read was used; read again
+		for err != nil { // the read was stale; read again
 			record, err = client.Read(t.Context(), storer.Row, 0)
 			require.NoError(t, err)
 			version, err = client.Swap(t.Context(), storer.Row, record.Version, value)
@@ -357,16 +368,16 @@
 	}
 }
 
-// TestMaintenance refuses new work as not run, with a time to come back, and
-// finishes what runs.
-func TestMaintenance(t *testing.T) {
+// TestMaintenanceRefusesNewJobs switches to the maintenance preset. New jobs must be
+// refused with a time to retry after, and running tasks must finish.
+func TestMaintenanceRefusesNewJobs(t *testing.T) {
 	d := deploy(t, "", 1, 1, "bogota-norte")
 	host := d.daemons[0]
-	running, wait := d.load(host, "comites", 2, 4, 1500*time.Millisecond, 20*time.Second)
-	d.started(8)
+	running, wait := d.submitInBackground(host, "comites", 2, 4, 1500*time.Millisecond, 20*time.Second)
+	d.awaitStarts(8)
 	d.setPreset(declarer.Maintenance)
 	d.await(func() bool { return d.status(host).Preset == string(declarer.Maintenance) })
-	a, err := d.client(host, "cruzroja").Submit(t.Context(), newJob(d.ticket(host, "cruzroja"), "new", time.Second, time.Millisecond))
+	a, err := d.client(host, "cruzroja").Submit(t.Context(), newJob(d.newTicket(host, "cruzroja"), "new", time.Second, time.Millisecond))
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Refused, a.Outcome)
 	assert.Equal(t, shallotrouter.Maintenance, a.Reason)
@@ -375,5 +386,5 @@
 	for _, s := range running {
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome)
 	}
-	assert.Len(t, d.counts().Starts, 8)
+	assert.Len(t, d.totalCounts().Starts, 8)
 }
--- a/cmd/shallotrouter/main.go
+++ b/cmd/shallotrouter/main.go
@@ -2,12 +2,13 @@
 //
 //	shallotrouter [-config FILE.ini]
 //
-// Without -config it takes the file that SHALLOTROUTER_NODE_FILE names. A file
-// with a [node] section makes it an entry host on the users' platform.
+// Without -config it reads the settings file that the environment variable
+// SHALLOTROUTER_NODE_FILE names. If the file has a [node] section, the daemon runs as a
+// platform node.
 //
-// It exits with 0 after a graceful shutdown, 1 when it fails while running and
-// 2 when its settings are wrong. SIGTERM and SIGINT begin a graceful shutdown; a
-// second signal ends it at once.
+// It exits with 0 after a graceful shutdown, 1 if it fails while it runs and 2 if its
+// settings are wrong. SIGTERM or SIGINT starts a graceful shutdown; a second signal stops
+// the daemon at once.
 package main
 
 import (
@@ -32,10 +33,10 @@
 	exitUsage  = 2
 )
 
-func main() { os.Exit(start()) }
+func main() { os.Exit(run()) }
 
-// start reads the command line and the settings, then serves.
-func start() int {
+// run reads the command line and the settings, serves, and returns the exit code.
+func run() int {
 	path := flag.String("config", os.Getenv("SHALLOTROUTER_NODE_FILE"), "the settings `file`")
 	version := flag.Bool("version", false, "print the version and exit")
 	check := flag.Bool("check", false, "check the settings and exit")
@@ -45,7 +46,7 @@
 		return 0
 	}
 	if text, err := os.ReadFile(*path); err == nil && loader.IsNode(string(text)) {
-		return startNode(*path, string(text), *check)
+		return runNode(*path, string(text), *check)
 	}
 	settings, err := loader.Load(*path)
 	if err != nil {
@@ -59,13 +60,13 @@
 	return serve(settings, nil)
 }
 
-// serve runs the daemon until it has shut down. A nil listener opens the address
-// of the settings.
+// serve runs the daemon until it has shut down and returns the exit code. If the listener
+// is nil, the daemon listens on the address in the settings.
 func serve(settings *loader.Settings, listener net.Listener) int {
 	log := logger.New(os.Stderr, settings.Verbosity)
 	d := &assembler.Daemon{Settings: settings, Clock: clockwork.NewRealClock(), Log: log, Listener: listener}
 	d.Init()
-	watch(d)
+	shutDownOnSignals(d)
 	if err := d.Run(context.Background()); err != nil {
 		log.Error(err, "daemon failed")
 		return exitFailed
@@ -73,34 +74,34 @@
 	return 0
 }
 
-// stopper is a daemon that can be shut down.
+// stopper is a daemon that can be shut down: gracefully by Drain, at once by Stop.
 type stopper interface {
 	Drain()
 	Stop()
 }
 
-// watch shuts the daemon down on signals.
-func watch(daemon stopper) {
-	w := &watcher{daemon: daemon, signals: make(chan os.Signal, 2)}
+// shutDownOnSignals shuts the daemon down on SIGTERM or SIGINT.
+func shutDownOnSignals(daemon stopper) {
+	w := &signalHandler{daemon: daemon, signals: make(chan os.Signal, 2)}
 	signal.Notify(w.signals, syscall.SIGTERM, syscall.SIGINT)
 	go w.run()
 }
 
-// watcher turns signals into a shutdown.
-type watcher struct {
+// signalHandler shuts a daemon down on signals.
+type signalHandler struct {
 	daemon  stopper
 	signals chan os.Signal
 }
 
 // run drains on the first signal and stops on the second.
-func (w *watcher) run() {
+func (w *signalHandler) run() {
 	<-w.signals
 	w.daemon.Drain()
 	<-w.signals
 	w.daemon.Stop()
 }
 
-// buildVersion returns the module's version as the build noted it.
+// buildVersion returns the module's version from the build information.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/shallotrouter/node.go
+++ b/cmd/shallotrouter/node.go
@@ -1,7 +1,7 @@
 package main
 
 // #include <unistd.h>
-import "C" // the platform runs programs that are linked against the C library
+import "C" // the platform only runs programs that are linked against the C library
 
 import (
 	"context"
@@ -23,13 +23,14 @@
 	"github.com/shallotrouter/shallotrouter/internal/parser"
 )
 
-// collectAt is the growth of the heap, in percent, at which it is collected. The
-// live heap is a few MB, and a collection delays requests on a small processor
-// share.
-const collectAt = 200
+// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It
+// exceeds Go's default because a collection delays requests on a small processor share,
+// and the live heap is only a few MB.
+const gcPercent = 200
 
-// startNode serves as an entry host on the users' platform.
-func startNode(path, text string, check bool) int {
+// runNode runs the daemon as a platform node and returns the exit code. If check is set,
+// it only checks and prints the settings.
+func runNode(path, text string, check bool) int {
 	settings, err := loader.ParseNode(path, text)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -38,13 +39,13 @@
 	if check {
 		return printSettings(os.Stdout, settings.Settings)
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	metrics := meter.NewHost()
 	queue := &logger.Queue{Output: os.Stdout, Bound: settings.Buffer, Observe: metrics.Omitted.Inc}
 	queue.Init()
-	writing, cancel := context.WithCancel(context.Background())
+	writerContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go (&writer{queue: queue}).run(writing)
+	go (&logWriter{queue: queue}).run(writerContext)
 	defer queue.Flush()
 	log := logger.New(queue, settings.Verbosity).WithValues("host", settings.Name)
 	for _, s := range settings.Settings {
@@ -52,9 +53,9 @@
 	}
 	n := &assembler.Node{Settings: settings, Clock: clocker.NewBoot(clockwork.NewRealClock()), Log: log, Meter: metrics}
 	n.Init()
-	watch(n)
-	h := &reloader{path: path, hangups: make(chan os.Signal, 1)}
-	signal.Notify(h.hangups, syscall.SIGHUP)
+	shutDownOnSignals(n)
+	h := &settingsChecker{path: path, signals: make(chan os.Signal, 1)}
+	signal.Notify(h.signals, syscall.SIGHUP)
 	go h.run(log.WithName("settings"))
 	if err := n.Run(context.Background()); err != nil {
 		log.Error(err, "daemon failed")
@@ -63,7 +64,7 @@
 	return 0
 }
 
-// printSettings prints the values in force and where each comes from.
+// printSettings prints the effective values and where each comes from.
 func printSettings(out io.Writer, settings []parser.Setting) int {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SECTION\tKEY\tVALUE\tORIGIN")
@@ -78,7 +79,7 @@
 	return 0
 }
 
-// writer carries the log out.
-type writer struct{ queue *logger.Queue }
+// logWriter writes the queued log lines.
+type logWriter struct{ queue *logger.Queue }
 
-func (w *writer) run(ctx context.Context) { w.queue.Run(ctx) }
+func (w *logWriter) run(ctx context.Context) { w.queue.Run(ctx) }
--- a/cmd/shallotrouter/process_test.go
+++ b/cmd/shallotrouter/process_test.go
@@ -26,8 +26,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// The test binary runs again as each process of a deployment; these variables
-// say as which. Its listener is file 3.
+// The test binary is run again for each process of a deployment. The environment
+// variables named here tell it its role and its settings; its listener is file
+// descriptor 3.
 const (
 	roleVariable     = "SHALLOTROUTER_TEST_ROLE"
 	settingsVariable = "SHALLOTROUTER_TEST_SETTINGS"
@@ -47,16 +48,16 @@
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(exitUsage)
 		}
-		os.Exit(serve(settings, inherited()))
+		os.Exit(serve(settings, inheritedListener()))
 	case "platform":
-		_ = http.Serve(inherited(), (&faker.Platform{}).Handler())
+		_ = http.Serve(inheritedListener(), (&faker.Platform{}).Handler())
 	case "target":
-		_ = http.Serve(inherited(), (&faker.Target{Slots: slots}).Handler())
+		_ = http.Serve(inheritedListener(), (&faker.Target{Slots: slots}).Handler())
 	}
 }
 
-// inherited returns the listener that the parent opened.
-func inherited() net.Listener {
+// inheritedListener returns the listener that the parent opened.
+func inheritedListener() net.Listener {
 	listener, err := net.FileListener(os.NewFile(listenerFile, "listener"))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -71,40 +72,41 @@
 	zone    string
 	address string
 	command *exec.Cmd
-	log     *safeBuffer
-	ended   chan struct{}
+	log     *lockedBuffer
+	done    chan struct{}
 }
 
-// safeBuffer collects output while it is read.
-type safeBuffer struct {
+// lockedBuffer is a buffer that is safe for concurrent use.
+type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *safeBuffer) Write(data []byte) (int, error) {
+func (b *lockedBuffer) Write(data []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.Write(data)
 }
 
-func (b *safeBuffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.String()
 }
 
-// deployment is a platform, targets and daemons in processes of their own.
+// deployment is a platform, targets and daemons, each in a separate process.
 type deployment struct {
-	t        *testing.T
-	platform *process
-	targets  []*process
-	daemons  []*process
-	extra    string // more settings of the daemons
+	t             *testing.T
+	platform      *process
+	targets       []*process
+	daemons       []*process
+	extraSettings string // appended to the settings of the daemons
 }
 
-// deploy starts a platform, and in each zone so many targets and daemons.
-func deploy(t *testing.T, extra string, targets, daemons int, zones ...string) *deployment {
-	d := &deployment{t: t, extra: extra}
+// deploy starts a platform and the given numbers of targets and daemons in each zone. It
+// waits until all daemons serve and know their peers.
+func deploy(t *testing.T, extraSettings string, targets, daemons int, zones ...string) *deployment {
+	d := &deployment{t: t, extraSettings: extraSettings}
 	d.platform = d.spawn("platform", "platform", "", "")
 	text := fmt.Sprintf("[service %s]\nslots = %d\n", service, slots)
 	for _, name := range []string{"comites", "cruzroja", "puertos"} {
@@ -118,9 +120,9 @@
 		for i := range targets {
 			d.targets = append(d.targets, d.spawn("target", fmt.Sprintf("%s-t%d", zone, i), zone, ""))
 		}
-		d.list(zone)
+		d.writeHostList(zone)
 		for i := range daemons {
-			d.daemon(fmt.Sprintf("%s-h%d", zone, i), zone)
+			d.startDaemon(fmt.Sprintf("%s-h%d", zone, i), zone)
 		}
 	}
 	for _, p := range d.daemons {
@@ -129,13 +131,13 @@
 	return d
 }
 
-// daemon starts one more daemon, which knows the earlier ones.
-func (d *deployment) daemon(name, zone string) *process {
-	return d.daemonAt(name, zone, "127.0.0.1:0")
+// startDaemon starts a daemon whose peers are all daemons started before it.
+func (d *deployment) startDaemon(name, zone string) *process {
+	return d.startDaemonAt(name, zone, "127.0.0.1:0")
 }
 
-// daemonAt starts a daemon on an address that is free.
-func (d *deployment) daemonAt(name, zone, address string) *process {
+// startDaemonAt starts a daemon on the given free address.
+func (d *deployment) startDaemonAt(name, zone, address string) *process {
 	var seeds []string
 	for _, p := range d.daemons {
 		seeds = append(seeds, p.address)
@@ -151,13 +153,13 @@
 addresses = %s
 [security]
 operator = %s
-%s`, name, zone, d.platform.address, strings.Join(seeds, ", "), declarer.HashToken(operatorToken), d.extra)
+%s`, name, zone, d.platform.address, strings.Join(seeds, ", "), declarer.HashToken(operatorToken), d.extraSettings)
 	p := d.spawnAt("daemon", name, zone, settings, address)
 	d.daemons = append(d.daemons, p)
 	return p
 }
 
-// spawn starts the test binary in a role, on a listener that is open already.
+// spawn starts the test binary in a role and passes it an open listener on a free port.
 func (d *deployment) spawn(role, name, zone, settings string) *process {
 	return d.spawnAt(role, name, zone, settings, "127.0.0.1:0")
 }
@@ -167,13 +169,13 @@
 	require.NoError(d.t, err)
 	file, err := listener.(*net.TCPListener).File()
 	require.NoError(d.t, err)
-	p := &process{name: name, zone: zone, address: listener.Addr().String(), log: &safeBuffer{}, ended: make(chan struct{})}
+	p := &process{name: name, zone: zone, address: listener.Addr().String(), log: &lockedBuffer{}, done: make(chan struct{})}
 	p.command = exec.Command(os.Args[0])
 	p.command.Env = append(os.Environ(), roleVariable+"="+role, settingsVariable+"="+strings.ReplaceAll(settings, "ADDRESS", p.address))
 	p.command.ExtraFiles = []*os.File{file}
 	p.command.Stderr = p.log
-	// The kernel hangs up a stopped process whose group loses its session, so
-	// that a daemon that a test freezes needs a group of its own.
+	// The kernel sends SIGHUP to a stopped process in an orphaned process group. A
+	// daemon that a test pauses therefore needs a process group of its own.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	require.NoError(d.t, p.command.Start())
 	require.NoError(d.t, listener.Close())
@@ -182,26 +184,26 @@
 	d.t.Cleanup(func() {
 		p.kill()
 		if d.t.Failed() {
-			d.t.Logf("%s %s ended by %v:\n%s", role, name, p.command.ProcessState, p.log)
+			d.t.Logf("%s %s ended with %v:\n%s", role, name, p.command.ProcessState, p.log)
 		}
 	})
 	return p
 }
 
-// run waits for the end of the process.
+// run waits until the process has ended.
 func (p *process) run() {
 	_ = p.command.Wait()
-	close(p.ended)
+	close(p.done)
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits until it has ended.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
-	<-p.ended
+	<-p.done
 }
 
-// signal sends a signal. A stopped process runs on for a moment after that, so its stop is
-// waited for.
+// signal sends a signal. The process continues for a moment after SIGSTOP, so that signal
+// waits until it has stopped.
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	require.NoError(t, p.command.Process.Signal(s))
 	if s == syscall.SIGSTOP {
@@ -225,8 +227,9 @@
 	return len(paths) > 0
 }
 
-// list writes a zone's host list, with the named targets as leaving.
-func (d *deployment) list(zone string, leaving ...string) {
+// writeHostList writes a zone's list of targets to the platform, with the named targets
+// marked as leaving.
+func (d *deployment) writeHostList(zone string, leaving ...string) {
 	directory := scheduler.Directory{Zone: zone}
 	for _, p := range d.targets {
 		if p.zone == zone {
@@ -237,11 +240,11 @@
 			directory.Hosts = append(directory.Hosts, h)
 		}
 	}
-	d.put(d.platform, "/hosts", directory)
+	d.putJSON(d.platform, "/hosts", directory)
 }
 
-// put sends a JSON value to a stand-in.
-func (d *deployment) put(p *process, path string, v any) {
+// putJSON sends a value as JSON to a stand-in.
+func (d *deployment) putJSON(p *process, path string, v any) {
 	body, err := json.Marshal(v)
 	require.NoError(d.t, err)
 	request, err := http.NewRequest(http.MethodPut, "http://"+p.address+path, bytes.NewReader(body))
@@ -252,7 +255,7 @@
 	require.Equal(d.t, http.StatusOK, response.StatusCode)
 }
 
-// status asks a daemon for its state; it is empty while the daemon is not there.
+// status asks a daemon for its state, which is empty if the daemon does not answer.
 func (d *deployment) status(p *process) scheduler.Status {
 	var v scheduler.Status
 	ctx, cancel := context.WithTimeout(d.t.Context(), time.Second)
@@ -269,17 +272,18 @@
 	return v
 }
 
-// await fails the test unless the condition comes to hold.
-func (d *deployment) await(holds func() bool) {
+// await waits until the condition holds and fails the test after 20 s.
+func (d *deployment) await(condition func() bool) {
 	d.t.Helper()
-	require.Eventually(d.t, holds, 20*time.Second, 20*time.Millisecond)
+	require.Eventually(d.t, condition, 20*time.Second, 20*time.Millisecond)
 }
 
-// counts sums up what the targets have seen.
-func (d *deployment) counts() faker.Counts {
+// totalCounts returns the starts at all targets and the most tasks that ran at the same
+// time on one of them.
+func (d *deployment) totalCounts() faker.Counts {
 	total := faker.Counts{Starts: make(map[string]int)}
 	for _, p := range d.targets {
-		c := d.countsOf(p)
+		c := d.targetCounts(p)
 		for name, n := range c.Starts {
 			total.Starts[name] += n
 		}
@@ -288,7 +292,7 @@
 	return total
 }
 
-func (d *deployment) countsOf(p *process) faker.Counts {
+func (d *deployment) targetCounts(p *process) faker.Counts {
 	var c faker.Counts
 	response, err := http.Get("http://" + p.address + "/counts")
 	if err != nil {
@@ -299,10 +303,10 @@
 	return c
 }
 
-// requireOnce fails the test if any task was started twice.
-func (d *deployment) requireOnce() {
+// requireNoRepeatedStarts fails the test if any task was started twice.
+func (d *deployment) requireNoRepeatedStarts() {
 	d.t.Helper()
-	for name, n := range d.counts().Starts {
+	for name, n := range d.totalCounts().Starts {
 		require.Equal(d.t, 1, n, "starts of task %s", name)
 	}
 	for _, p := range d.daemons {
@@ -314,14 +318,15 @@
 	return &shallotrouter.Client{Address: "http://" + p.address, Token: name + "-token"}
 }
 
-// ticket takes one ticket.
-func (d *deployment) ticket(p *process, name string) string {
+// newTicket requests a ticket from a host.
+func (d *deployment) newTicket(p *process, name string) string {
 	grant, err := d.client(p, name).Tickets(d.t.Context(), 1)
 	require.NoError(d.t, err)
 	return grant.Tickets[0]
 }
 
-// newJob returns a job whose tasks run for the given times and echo the label.
+// newJob returns a job with a task for each run time. The result of a task is the label
+// and the task's index.
 func newJob(ticket, label string, deadline time.Duration, runs ...time.Duration) shallotrouter.Job {
 	job := shallotrouter.Job{Ticket: ticket, Service: service, Deadline: shallotrouter.Duration(deadline)}
 	for i, run := range runs {
--- a/cmd/shallotrouter/reload.go
+++ b/cmd/shallotrouter/reload.go
@@ -8,24 +8,24 @@
 	"github.com/shallotrouter/shallotrouter/internal/loader"
 )
 
-// reloader answers SIGHUP. Settings take effect at a start only, so it checks
-// the file and tells whether it has faults; the daemon serves on.
-type reloader struct {
+// settingsChecker checks the settings file on each SIGHUP and logs whether it has faults.
+// The running daemon keeps its settings: a change takes effect only at the next start.
+type settingsChecker struct {
 	path    string
-	hangups chan os.Signal
+	signals chan os.Signal
 }
 
-func (h *reloader) run(log logr.Logger) {
-	for range h.hangups {
+func (h *settingsChecker) run(log logr.Logger) {
+	for range h.signals {
 		text, err := os.ReadFile(h.path)
 		if err != nil {
-			log.Error(err, "settings not read", "path", h.path)
+			log.Error(err, "cannot read the settings file; correct its path or permissions", "path", h.path)
 			continue
 		}
 		if _, err := loader.ParseNode(h.path, string(text)); err != nil {
-			log.Error(err, "settings have faults; the next start would fail", "path", h.path)
+			log.Error(err, "the settings file has faults, so that the next start would fail; correct it", "path", h.path)
 			continue
 		}
-		log.Info("reload", "path", h.path, "outcome", "settings are good; they take effect at the next start")
+		log.Info("reload", "path", h.path, "outcome", "the settings are valid and take effect at the next start")
 	}
 }
--- a/cmd/shallotrouter/whole_test.go
+++ b/cmd/shallotrouter/whole_test.go
@@ -18,7 +18,7 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// submission is one job on its way through a deployment.
+// submission is a job that a client submits, and its answer.
 type submission struct {
 	caller *shallotrouter.Client
 	job    shallotrouter.Job
@@ -33,7 +33,7 @@
 	s.answer, s.err = s.caller.Submit(ctx, s.job)
 }
 
-// submitAll runs all submissions together and waits for them.
+// submitAll runs all submissions concurrently and waits for their answers.
 func submitAll(ctx context.Context, list []*submission) {
 	var group sync.WaitGroup
 	for _, s := range list {
@@ -43,9 +43,10 @@
 	group.Wait()
 }
 
-// TestWhole submits 200 jobs over three daemons in processes of their own. Run
-// times are random, so answers come late and out of order.
-func TestWhole(t *testing.T) {
+// TestConcurrentJobsComplete submits 200 jobs at once to three daemons, each in a separate
+// process. The run times are random, so that results arrive out of order. Each job must
+// get its own results, and each task must start once.
+func TestConcurrentJobsComplete(t *testing.T) {
 	d := deploy(t, "", 3, 3, "bogota-norte")
 	random := rand.New(rand.NewPCG(1, 2))
 	clients := []string{"comites", "cruzroja", "puertos"}
@@ -53,7 +54,7 @@
 	total := 0
 	for i := range 200 {
 		name := clients[i%len(clients)]
-		giver, taker := d.daemons[i%3], d.daemons[random.IntN(3)]
+		ticketHost, submitHost := d.daemons[i%3], d.daemons[random.IntN(3)]
 		var runs []time.Duration
 		for range 1 + random.IntN(8) {
 			runs = append(runs, time.Duration(random.IntN(60))*time.Millisecond)
@@ -61,8 +62,8 @@
 		total += len(runs)
 		label := fmt.Sprint("job", i)
 		list = append(list, &submission{
-			caller: d.client(taker, name), label: label,
-			job: newJob(d.ticket(giver, name), label, time.Minute, runs...),
+			caller: d.client(submitHost, name), label: label,
+			job: newJob(d.newTicket(ticketHost, name), label, time.Minute, runs...),
 		})
 	}
 	submitAll(t.Context(), list)
@@ -74,22 +75,22 @@
 			require.Equal(t, fmt.Sprintf("%s-%d", s.label, i), string(result))
 		}
 	}
-	require.Len(t, d.counts().Starts, total)
-	require.LessOrEqual(t, d.counts().Most, slots)
-	d.requireOnce()
+	require.Len(t, d.totalCounts().Starts, total)
+	require.LessOrEqual(t, d.totalCounts().Most, slots)
+	d.requireNoRepeatedStarts()
 }
 
-// ticketLife is how long tickets are good in TestRefusals.
-const ticketLife = time.Second
+// ticketLifetime is how long tickets are valid in TestInvalidSubmissionsAreRefused.
+const ticketLifetime = time.Second
 
-// TestRefusals sends submissions that must be refused, and requires a clear
-// answer to each and no start.
-func TestRefusals(t *testing.T) {
-	d := deploy(t, "[limits]\nbody = 20000\nticket = "+ticketLife.String()+"\n", 1, 1, "bogota-norte")
+// TestInvalidSubmissionsAreRefused sends submissions that must be refused. Each must get
+// the right reason and a message, and no task may start.
+func TestInvalidSubmissionsAreRefused(t *testing.T) {
+	d := deploy(t, "[limits]\nbody = 20000\nticket = "+ticketLifetime.String()+"\n", 1, 1, "bogota-norte")
 	host := d.daemons[0]
-	good := newJob(d.ticket(host, "comites"), "x", time.Second, time.Millisecond)
+	valid := newJob(d.newTicket(host, "comites"), "x", time.Second, time.Millisecond)
 	change := func(f func(*shallotrouter.Job)) shallotrouter.Job {
-		job := good
+		job := valid
 		f(&job)
 		return job
 	}
@@ -99,8 +100,8 @@
 		job    shallotrouter.Job
 		reason shallotrouter.Reason
 	}{
-		{"unauthenticated", "nobody", good, shallotrouter.Unauthorized},
-		{"other client's ticket", "cruzroja-token", good, shallotrouter.Unauthorized},
+		{"unauthenticated", "nobody", valid, shallotrouter.Unauthorized},
+		{"other client's ticket", "cruzroja-token", valid, shallotrouter.Unauthorized},
 		{"unknown service", "comites-token", change(func(j *shallotrouter.Job) { j.Service = "none" }), shallotrouter.Unknown},
 		{"no tasks", "comites-token", change(func(j *shallotrouter.Job) { j.Tasks = nil }), shallotrouter.Malformed},
 		{"no deadline", "comites-token", change(func(j *shallotrouter.Job) { j.Deadline = 0 }), shallotrouter.Malformed},
@@ -119,8 +120,8 @@
 		assert.Equal(t, c.reason, a.Reason, c.name+": "+a.Message)
 		assert.NotEmpty(t, a.Message, c.name)
 	}
-	<-time.After(ticketLife + ticketLife/8) // the ticket's life, and its grain
-	a, err := d.client(host, "comites").Submit(t.Context(), good)
+	<-time.After(ticketLifetime + ticketLifetime/8) // the ticket's lifetime and the resolution of its expiry time
+	a, err := d.client(host, "comites").Submit(t.Context(), valid)
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Refused, a.Outcome)
 	assert.Equal(t, shallotrouter.Expired, a.Reason)
@@ -128,15 +129,16 @@
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
 	assert.Equal(t, http.StatusUnauthorized, response.StatusCode)
-	assert.Empty(t, d.counts().Starts)
+	assert.Empty(t, d.totalCounts().Starts)
 }
 
-// TestLongJob waits for a job for longer than its submission may take to arrive,
-// and sends one that does not arrive.
-func TestLongJob(t *testing.T) {
+// TestReadTimeoutDoesNotLimitJobs sets a read timeout of 300 ms. It must not affect a
+// job that runs for 1 s after it has arrived, but must end a submission of which only a
+// part arrives.
+func TestReadTimeoutDoesNotLimitJobs(t *testing.T) {
 	d := deploy(t, "[limits]\nread = 300ms\n", 1, 1, "bogota-norte")
 	host := d.daemons[0]
-	a, err := d.client(host, "comites").Submit(t.Context(), newJob(d.ticket(host, "comites"), "long", 10*time.Second, time.Second))
+	a, err := d.client(host, "comites").Submit(t.Context(), newJob(d.newTicket(host, "comites"), "long", 10*time.Second, time.Second))
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Complete, a.Outcome, a.Message)
 	c, err := net.Dial("tcp", host.address)
@@ -146,15 +148,15 @@
 	require.NoError(t, err)
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 	answer, err := io.ReadAll(c)
-	require.NoError(t, err, "the connection is ended")
+	require.NoError(t, err, "the server closes the connection")
 	assert.Contains(t, string(answer), "400 Bad Request")
 }
 
-// TestTicketIsForOneJob submits another job under a used ticket: it must not get
-// the first job's answer, and must not run.
+// TestTicketIsForOneJob submits a second job with a used ticket. It must be refused: it may
+// neither get the first job's answer nor run.
 func TestTicketIsForOneJob(t *testing.T) {
 	d := deploy(t, "", 1, 2, "bogota-norte")
-	ticket := d.ticket(d.daemons[0], "comites")
+	ticket := d.newTicket(d.daemons[0], "comites")
 	a, err := d.client(d.daemons[1], "comites").Submit(t.Context(), newJob(ticket, "first", time.Second, time.Millisecond))
 	require.NoError(t, err)
 	require.Equal(t, shallotrouter.Complete, a.Outcome, a.Message)
@@ -164,5 +166,5 @@
 		assert.Equal(t, shallotrouter.Refused, a.Outcome)
 		assert.Equal(t, shallotrouter.Malformed, a.Reason)
 	}
-	assert.Len(t, d.counts().Starts, 1)
+	assert.Len(t, d.totalCounts().Starts, 1)
 }
