--- a/cmd/shallotctl/change.go
+++ b/cmd/shallotctl/change.go
@@ -16,33 +16,33 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// requestTimeout bounds one request to the platform.
+// requestTimeout limits one request to the platform or to a host.
 const requestTimeout = 2 * time.Second
 
-// platformFlags are the flags of commands that use the platform.
+// platformFlags are the flags of commands that send requests to the platform.
 type platformFlags struct {
-	address string
-	author  string
-	base    uint64
-	bound   time.Duration
+	address     string
+	author      string
+	baseVersion uint64
+	timeout     time.Duration
 }
 
-func (p *platformFlags) add(set *flag.FlagSet) {
+func (p *platformFlags) register(set *flag.FlagSet) {
 	set.StringVar(&p.address, "platform", "127.0.0.1:7000", "the `address` of the platform's service")
-	set.StringVar(&p.author, "author", os.Getenv("USER"), "the `name` that the history shows")
-	set.Uint64Var(&p.base, "base", 0, "make the change only against this `version`")
-	set.DurationVar(&p.bound, "timeout", 10*time.Second, "how long to try")
+	set.StringVar(&p.author, "author", os.Getenv("USER"), "the `name` of the author of the change, for the history")
+	set.Uint64Var(&p.baseVersion, "base", 0, "make the change only if this `version` is the current one; 0 accepts any")
+	set.DurationVar(&p.timeout, "timeout", 10*time.Second, "how long to try before giving up")
 }
 
-func (p *platformFlags) changer() *operator.Changer {
+func (p *platformFlags) newChanger() *operator.Changer {
 	return &operator.Changer{
-		Table: storer.NewClient(p.address, requestTimeout), Clock: clockwork.NewRealClock(), Author: p.author, Base: p.base,
+		Table: storer.NewClient(p.address, requestTimeout), Clock: clockwork.NewRealClock(), Author: p.author, Base: p.baseVersion,
 	}
 }
 
 func runCheck(_ context.Context, t *tool, args []string) error {
-	set := t.flags("check", "FILE")
-	if err := parse(set, args, 1); err != nil {
+	set := t.newFlagSet("check", "FILE")
+	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(set.Arg(0))
@@ -53,47 +53,47 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s is good: %d services, %d clients\n", set.Arg(0), len(d.Services), len(d.Clients))
+	fmt.Fprintf(t.out, "%s is valid: %d services, %d clients\n", set.Arg(0), len(d.Services), len(d.Clients))
 	return nil
 }
 
 func runDiff(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("diff", "FILE")
+	set := t.newFlagSet("diff", "FILE")
 	var p platformFlags
-	p.add(set)
-	if err := parse(set, args, 1); err != nil {
+	p.register(set)
+	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.bound)
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	text, err := os.ReadFile(set.Arg(0))
 	if err != nil {
 		return err
 	}
-	row, version, err := p.changer().Current(ctx)
+	row, version, err := p.newChanger().Current(ctx)
 	if err != nil {
 		return err
 	}
 	diff, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
-		A: difflib.SplitLines(row.Text), FromFile: fmt.Sprintf("in force, version %d", version),
+		A: difflib.SplitLines(row.Text), FromFile: fmt.Sprintf("current, version %d", version),
 		B: difflib.SplitLines(string(text)), ToFile: set.Arg(0), Context: 2,
 	})
 	if err != nil {
 		return err
 	}
 	if diff == "" {
-		diff = fmt.Sprintf("no difference to version %d\n", version)
+		diff = fmt.Sprintf("no difference from version %d\n", version)
 	}
 	fmt.Fprint(t.out, diff)
 	return nil
 }
 
 func runApply(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("apply", "FILE")
+	set := t.newFlagSet("apply", "FILE")
 	note := set.String("note", "", "what is changed and why")
 	var p platformFlags
-	p.add(set)
-	if err := parse(set, args, 1); err != nil {
+	p.register(set)
+	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(set.Arg(0))
@@ -107,43 +107,43 @@
 }
 
 func runPreset(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("preset", "ordinary|peak|maintenance")
+	set := t.newFlagSet("preset", "ordinary|peak|maintenance")
 	var p platformFlags
-	p.add(set)
-	if err := parse(set, args, 1); err != nil {
+	p.register(set)
+	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
 	return p.change(ctx, t, "preset "+set.Arg(0), operator.Switch(declarer.Name(set.Arg(0))))
 }
 
-// change makes a change and tells its version.
+// change makes a change and prints its version.
 func (p *platformFlags) change(ctx context.Context, t *tool, note string, edit func(declarer.Row) (declarer.Row, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, p.bound)
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	version, err := p.changer().Change(ctx, note, edit)
+	version, err := p.newChanger().Change(ctx, note, edit)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "version %d is accepted; \"shallotctl wait -version %d\" tells when it is in force everywhere\n", version, version)
+	fmt.Fprintf(t.out, "version %d is accepted; run \"shallotctl wait -version %d\" to wait until all hosts use it\n", version, version)
 	return nil
 }
 
 func runHistory(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("history", "")
+	set := t.newFlagSet("history", "")
 	asJSON := set.Bool("json", false, "write JSON")
 	var p platformFlags
-	p.add(set)
-	if err := parse(set, args, 0); err != nil {
+	p.register(set)
+	if err := parseFlags(set, args, 0); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.bound)
+	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	row, _, err := p.changer().Current(ctx)
+	row, _, err := p.newChanger().Current(ctx)
 	if err != nil {
 		return err
 	}
 	if *asJSON {
-		return t.json(row.History)
+		return t.writeJSON(row.History)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tCHANGE\tNOTE")
--- a/cmd/shallotctl/explain.go
+++ b/cmd/shallotctl/explain.go
@@ -11,10 +11,10 @@
 	"github.com/shallotrouter/shallotrouter/internal/explainer"
 )
 
-// runExplain tells a job's story from logs.
+// runExplain explains from logs why a job ended as it did.
 func runExplain(_ context.Context, t *tool, args []string) error {
-	set := t.flags("explain", "ID [LOG ...]")
-	machine := set.Bool("json", false, "print the outcome, the cause and its evidence as JSON")
+	set := t.newFlagSet("explain", "ID [LOG ...]")
+	asJSON := set.Bool("json", false, "print the outcome, the cause and its evidence as JSON")
 	if err := set.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return err
@@ -29,18 +29,18 @@
 	if err := readLogs(reader, set.Args()[1:]); err != nil {
 		return err
 	}
-	story, found := reader.Explain(set.Arg(0))
+	explanation, found := reader.Explain(set.Arg(0))
 	if !found {
-		fmt.Fprintf(t.errors, "no line names job %s; give the logs of all entry hosts of that time\n", set.Arg(0))
+		fmt.Fprintf(t.errorOutput, "no log line names job %s; give the logs of all entry hosts for the time of the job\n", set.Arg(0))
 		return errFailed
 	}
-	if *machine {
-		return json.NewEncoder(t.out).Encode(story)
+	if *asJSON {
+		return json.NewEncoder(t.out).Encode(explanation)
 	}
-	return story.Write(t.out)
+	return explanation.Write(t.out)
 }
 
-// readLogs reads the named files, or standard input when there is none.
+// readLogs reads the logs at the given paths, or from standard input if there are none.
 func readLogs(reader *explainer.Reader, paths []string) error {
 	if len(paths) == 0 {
 		return reader.Read(os.Stdin)
--- a/cmd/shallotctl/hosts.go
+++ b/cmd/shallotctl/hosts.go
@@ -19,27 +19,27 @@
 	"github.com/shallotrouter/shallotrouter/internal/operator"
 )
 
-// hostFlags are the flags of commands that ask hosts.
+// hostFlags are the flags of commands that send requests to hosts.
 type hostFlags struct {
-	hosts     string
-	token     string
-	authority string
-	bound     time.Duration
+	hosts         string
+	tokenFile     string
+	authorityFile string
+	timeout       time.Duration
 }
 
-func (h *hostFlags) add(set *flag.FlagSet) {
-	set.StringVar(&h.hosts, "hosts", "http://127.0.0.1:7100", "the base `URLs` of the entry hosts, with commas")
-	set.StringVar(&h.token, "token-file", "", "the `file` with the operators' token; default is $SHALLOTROUTER_OPERATOR")
-	set.StringVar(&h.authority, "authority", "", "the PEM `file` of who signed the hosts' certificates, for https")
-	set.DurationVar(&h.bound, "timeout", 10*time.Second, "how long to try")
+func (h *hostFlags) register(set *flag.FlagSet) {
+	set.StringVar(&h.hosts, "hosts", "http://127.0.0.1:7100", "the base `URLs` of the entry hosts, separated by commas")
+	set.StringVar(&h.tokenFile, "token-file", "", "the `file` with the operators' token; the default token is $SHALLOTROUTER_OPERATOR")
+	set.StringVar(&h.authorityFile, "authority", "", "the PEM `file` of the authority that signed the hosts' certificates, for https")
+	set.DurationVar(&h.timeout, "timeout", 10*time.Second, "how long to try before giving up")
 }
 
-func (h *hostFlags) surveyor() (*operator.Surveyor, error) {
-	token, err := secret(h.token, "SHALLOTROUTER_OPERATOR")
+func (h *hostFlags) newSurveyor() (*operator.Surveyor, error) {
+	token, err := readToken(h.tokenFile, "SHALLOTROUTER_OPERATOR")
 	if err != nil {
 		return nil, err
 	}
-	client, err := web(h.authority)
+	client, err := newHTTPClient(h.authorityFile)
 	if err != nil {
 		return nil, err
 	}
@@ -47,52 +47,53 @@
 	return &operator.Surveyor{Hosts: strings.Split(h.hosts, ","), Token: token, Clock: clockwork.NewRealClock(), HTTP: client}, nil
 }
 
-// web returns a client that trusts the authority, or the system's authorities when
-// none is named.
-func web(authority string) (*http.Client, error) {
-	if authority == "" {
+// newHTTPClient returns an HTTP client that trusts the authority in the PEM file, or the
+// system's authorities if the path is empty.
+func newHTTPClient(authorityFile string) (*http.Client, error) {
+	if authorityFile == "" {
 		return &http.Client{}, nil
 	}
-	pem, err := os.ReadFile(authority)
+	pem, err := os.ReadFile(authorityFile)
 	if err != nil {
 		return nil, err
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate; name a PEM file with -authority", authority)
+		return nil, fmt.Errorf("%s contains no certificate; name a PEM file with -authority", authorityFile)
 	}
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}, nil
 }
 
-// ask parses the arguments of a command that asks hosts and needs no others.
-func (h *hostFlags) ask(set *flag.FlagSet, args []string) (*operator.Surveyor, error) {
-	h.add(set)
-	if err := parse(set, args, 0); err != nil {
+// parseArgs parses the flags of a command without arguments and returns a Surveyor for
+// the hosts that the flags name.
+func (h *hostFlags) parseArgs(set *flag.FlagSet, args []string) (*operator.Surveyor, error) {
+	h.register(set)
+	if err := parseFlags(set, args, 0); err != nil {
 		return nil, err
 	}
-	return h.surveyor()
+	return h.newSurveyor()
 }
 
-// json writes a value as indented JSON.
-func (t *tool) json(v any) error {
+// writeJSON writes a value as indented JSON.
+func (t *tool) writeJSON(v any) error {
 	e := json.NewEncoder(t.out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
 func runStatus(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("status", "")
+	set := t.newFlagSet("status", "")
 	asJSON := set.Bool("json", false, "write JSON")
 	var h hostFlags
-	s, err := h.ask(set, args)
+	s, err := h.parseArgs(set, args)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.bound)
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	findings := s.Survey(ctx)
 	if *asJSON {
-		err = t.json(findings)
+		err = t.writeJSON(findings)
 	} else {
 		err = writeStatus(t.out, findings)
 	}
@@ -104,7 +105,7 @@
 	return err
 }
 
-// writeStatus writes the findings as tables.
+// writeStatus writes tables of the hosts, their targets and their clients.
 func writeStatus(out io.Writer, findings []operator.Finding) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tZONE\tPHASE\tVERSION\tPRESET\tPLATFORM READ\tPEERS\tOPEN JOBS\tWAITING TASKS")
@@ -114,7 +115,7 @@
 			continue
 		}
 		v := f.Status
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", v.Host, v.Zone, v.Phase, v.Version, v.Preset, age(v.Age), len(v.Peers), v.Open, v.Waiting)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", v.Host, v.Zone, v.Phase, v.Version, v.Preset, formatAge(v.Age), len(v.Peers), v.Open, v.Waiting)
 	}
 	fmt.Fprintln(w, "\nHOST\tTARGET\tSERVICE\tSTATE\tSLOTS\tOWN\tPEERS'\tSLOWNESS\tEJECTED BY\tWHY")
 	for _, f := range findings {
@@ -131,8 +132,9 @@
 	return w.Flush()
 }
 
-// age writes the time since the platform was read.
-func age(d time.Duration) string {
+// formatAge returns the time since an event as text; a negative time means that there was
+// no such event yet.
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
@@ -140,49 +142,49 @@
 }
 
 func runWait(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("wait", "")
+	set := t.newFlagSet("wait", "")
 	version := set.Uint64("version", 0, "the `version` to wait for")
 	var h hostFlags
-	s, err := h.ask(set, args)
+	s, err := h.parseArgs(set, args)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.bound)
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
-	p := &progress{out: t.out, terminal: terminal(t.out)}
-	lacking := s.Wait(ctx, *version, p.show)
+	p := &progress{out: t.out, terminal: isTerminal(t.out)}
+	missing := s.Wait(ctx, *version, p.show)
 	p.end()
-	for _, f := range lacking {
+	for _, f := range missing {
 		if f.Status == nil {
-			fmt.Fprintf(t.errors, "%s: not known: %s\n", f.Address, f.Problem)
+			fmt.Fprintf(t.errorOutput, "%s: version unknown: %s\n", f.Address, f.Problem)
 			continue
 		}
-		fmt.Fprintf(t.errors, "%s has version %d in force\n", f.Status.Host, f.Status.Version)
+		fmt.Fprintf(t.errorOutput, "%s has version %d\n", f.Status.Host, f.Status.Version)
 	}
-	if len(lacking) > 0 {
+	if len(missing) > 0 {
 		return errFailed
 	}
-	fmt.Fprintf(t.out, "version %d is in force on all %d hosts\n", *version, len(s.Hosts))
+	fmt.Fprintf(t.out, "version %d is active on all %d hosts\n", *version, len(s.Hosts))
 	return nil
 }
 
-// progress shows how far a wait is: in place on a terminal, a line a change
-// elsewhere.
+// progress shows on how many hosts a version is active. On a terminal it updates the same
+// line; elsewhere it writes a line for each change.
 type progress struct {
 	out      io.Writer
 	terminal bool
-	last     string
+	lastText string
 }
 
-func (p *progress) show(have, all int) {
-	text := fmt.Sprintf("in force on %d of %d hosts", have, all)
+func (p *progress) show(reached, total int) {
+	text := fmt.Sprintf("active on %d of %d hosts", reached, total)
 	switch {
 	case p.terminal:
 		fmt.Fprintf(p.out, "\r%s", text)
-	case text != p.last:
+	case text != p.lastText:
 		fmt.Fprintln(p.out, text)
 	}
-	p.last = text
+	p.lastText = text
 }
 
 func (p *progress) end() {
@@ -191,8 +193,8 @@
 	}
 }
 
-// terminal reports whether the output is a terminal.
-func terminal(out io.Writer) bool {
+// isTerminal reports whether the output is a terminal.
+func isTerminal(out io.Writer) bool {
 	file, ok := out.(*os.File)
 	if !ok {
 		return false
@@ -202,17 +204,17 @@
 }
 
 func runDrain(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("drain", "host|target NAME")
-	undo := set.Bool("undo", false, "take a target back into use")
+	set := t.newFlagSet("drain", "host|target NAME")
+	undo := set.Bool("undo", false, "undo the drain of a target")
 	var h hostFlags
-	h.add(set)
+	h.register(set)
 	var p platformFlags
 	set.StringVar(&p.address, "platform", "127.0.0.1:7000", "the `address` of the platform's service")
-	set.StringVar(&p.author, "author", os.Getenv("USER"), "the `name` that the history shows")
-	if err := parse(set, args, 2); err != nil {
+	set.StringVar(&p.author, "author", os.Getenv("USER"), "the `name` of the author of the change, for the history")
+	if err := parseFlags(set, args, 2); err != nil {
 		return err
 	}
-	p.bound = h.bound
+	p.timeout = h.timeout
 	switch set.Arg(0) {
 	case "target":
 		note := fmt.Sprintf("drain target %s, undo %t", set.Arg(1), *undo)
@@ -220,27 +222,27 @@
 	case "host":
 		return drainHost(ctx, t, &h, set.Arg(1))
 	}
-	fmt.Fprintf(t.errors, "%q cannot be drained; name a host or a target\n", set.Arg(0))
+	fmt.Fprintf(t.errorOutput, "%q cannot be drained; name a host or a target\n", set.Arg(0))
 	return errUsage
 }
 
-// drainHost asks the host of that name to shut down gracefully.
+// drainHost asks the named host to shut down gracefully.
 func drainHost(ctx context.Context, t *tool, h *hostFlags, name string) error {
-	s, err := h.surveyor()
+	s, err := h.newSurveyor()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.bound)
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	for _, f := range s.Survey(ctx) {
 		if f.Status != nil && f.Status.Host == name {
 			if err := s.Drain(ctx, f.Address); err != nil {
 				return err
 			}
-			fmt.Fprintf(t.out, "%s finishes its jobs and ends\n", name)
+			fmt.Fprintf(t.out, "%s finishes its jobs and then exits\n", name)
 			return nil
 		}
 	}
-	fmt.Fprintf(t.errors, "no host named %s answers; name its URL with -hosts\n", name)
+	fmt.Fprintf(t.errorOutput, "no host named %s answers; name its URL with -hosts\n", name)
 	return errFailed
 }
--- a/cmd/shallotctl/main.go
+++ b/cmd/shallotctl/main.go
@@ -7,9 +7,9 @@
 //	shallotctl explain [-json] ID [LOG ...]
 //	shallotctl pools [flags]
 //
-// It exits with 0 when all is well, 1 when something was refused or failed and
-// nothing was changed, 2 when the command line is wrong, and 3 when it is not
-// known whether a change took effect.
+// It exits with 0 if the command succeeded, 1 if it was refused or failed and nothing was
+// changed, 2 if the command line is wrong, and 3 if it is unknown whether a change took
+// effect.
 package main
 
 import (
@@ -26,50 +26,50 @@
 )
 
 const (
-	exitFailed    = 1
-	exitUsage     = 2
-	exitUnsettled = 3
+	exitFailed  = 1
+	exitUsage   = 2
+	exitUnknown = 3
 )
 
-// errUsage marks a wrong command line, which has been explained.
+// errUsage is returned for a wrong command line whose error has already been printed.
 var errUsage = errors.New("wrong usage")
 
-// errFailed marks a failure that has been explained.
+// errFailed is returned for a failure that has already been printed.
 var errFailed = errors.New("failed")
 
-// command is one subcommand.
+// command is a subcommand.
 type command struct {
-	name  string
-	about string
-	run   func(ctx context.Context, t *tool, args []string) error
+	name    string
+	summary string
+	run     func(ctx context.Context, t *tool, args []string) error
 }
 
 // commands returns all subcommands.
 func commands() []command {
 	return []command{
 		{"check", "check declarations offline", runCheck},
-		{"diff", "show how declarations differ from those in force", runDiff},
-		{"apply", "put declarations in force", runApply},
+		{"diff", "show how declarations differ from the current ones", runDiff},
+		{"apply", "replace the current declarations", runApply},
 		{"preset", "switch the preset", runPreset},
 		{"history", "show who changed what when", runHistory},
 		{"status", "show the state of the hosts", runStatus},
-		{"wait", "wait until a version is in force on all hosts", runWait},
+		{"wait", "wait until a version is active on all hosts", runWait},
 		{"drain", "drain a host or a target", runDrain},
 		{"submit", "submit a job and show its answer", runSubmit},
-		{"pools", "show who holds which leased targets, and what hosts do not agree on", runPools},
-		{"explain", "tell from logs why a job ended as it did", runExplain},
+		{"pools", "show which hosts hold which leased targets, and what hosts disagree on", runPools},
+		{"explain", "explain from logs why a job ended as it did", runExplain},
 	}
 }
 
 func main() {
-	t := &tool{out: os.Stdout, errors: os.Stderr}
+	t := &tool{out: os.Stdout, errorOutput: os.Stderr}
 	os.Exit(t.execute(context.Background(), os.Args[1:]))
 }
 
-// tool is where the subcommands write.
+// tool runs the subcommands and holds their outputs.
 type tool struct {
-	out    io.Writer
-	errors io.Writer
+	out         io.Writer
+	errorOutput io.Writer
 }
 
 // execute runs the subcommand that the first argument names and returns the exit
@@ -85,23 +85,23 @@
 	}
 	i := slices.IndexFunc(list, func(c command) bool { return c.name == args[0] })
 	if i < 0 {
-		fmt.Fprintf(t.errors, "there is no command %q\n", args[0])
+		fmt.Fprintf(t.errorOutput, "there is no command %q\n", args[0])
 		t.usage(list)
 		return exitUsage
 	}
-	return t.code(list[i].run(ctx, t, args[1:]))
+	return t.exitCode(list[i].run(ctx, t, args[1:]))
 }
 
 func (t *tool) usage(list []command) {
-	fmt.Fprintln(t.errors, "usage: shallotctl COMMAND [flags] [arguments]; COMMAND -h lists its flags")
+	fmt.Fprintln(t.errorOutput, "usage: shallotctl COMMAND [flags] [arguments]; COMMAND -h lists its flags")
 	for _, c := range list {
-		fmt.Fprintf(t.errors, "  %-8s %s\n", c.name, c.about)
+		fmt.Fprintf(t.errorOutput, "  %-8s %s\n", c.name, c.summary)
 	}
-	fmt.Fprintln(t.errors, "exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 not known whether a change took effect")
+	fmt.Fprintln(t.errorOutput, "exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 unknown whether a change took effect")
 }
 
-// code explains an error and returns its exit code.
-func (t *tool) code(err error) int {
+// exitCode prints an error unless that has been done, and returns its exit code.
+func (t *tool) exitCode(err error) int {
 	var e *operator.Error
 	switch {
 	case err == nil, errors.Is(err, flag.ErrHelp):
@@ -111,26 +111,27 @@
 	case errors.Is(err, errFailed):
 		return exitFailed
 	case errors.As(err, &e) && e.Kind == operator.Unsettled:
-		fmt.Fprintln(t.errors, err)
-		return exitUnsettled
+		fmt.Fprintln(t.errorOutput, err)
+		return exitUnknown
 	}
-	fmt.Fprintln(t.errors, err)
+	fmt.Fprintln(t.errorOutput, err)
 	return exitFailed
 }
 
-// flags returns a flag set whose usage names its arguments.
-func (t *tool) flags(name, arguments string) *flag.FlagSet {
+// newFlagSet returns the flag set of a command, whose usage text names the command's
+// arguments.
+func (t *tool) newFlagSet(name, arguments string) *flag.FlagSet {
 	set := flag.NewFlagSet(name, flag.ContinueOnError)
-	set.SetOutput(t.errors)
+	set.SetOutput(t.errorOutput)
 	set.Usage = func() {
-		fmt.Fprintf(t.errors, "usage: shallotctl %s [flags] %s\n", name, arguments)
+		fmt.Fprintf(t.errorOutput, "usage: shallotctl %s [flags] %s\n", name, arguments)
 		set.PrintDefaults()
 	}
 	return set
 }
 
-// parse parses the flags and requires so many arguments.
-func parse(set *flag.FlagSet, args []string, count int) error {
+// parseFlags parses the flags and requires exactly count arguments after them.
+func parseFlags(set *flag.FlagSet, args []string, count int) error {
 	if err := set.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return err
@@ -138,16 +139,17 @@
 		return errUsage
 	}
 	if set.NArg() != count {
-		fmt.Fprintf(set.Output(), "%d arguments were given, %d are needed\n", set.NArg(), count)
+		fmt.Fprintf(set.Output(), "%d arguments were given, but %d are needed\n", set.NArg(), count)
 		set.Usage()
 		return errUsage
 	}
 	return nil
 }
 
-// secret reads a token from a file, or from the environment when no file is
-// named. A token on the command line would show in the list of processes.
-func secret(path, variable string) (string, error) {
+// readToken reads a token from a file, or from an environment variable if the path is
+// empty. There is no flag for the token itself, because the list of processes would show
+// it.
+func readToken(path, variable string) (string, error) {
 	if path == "" {
 		return os.Getenv(variable), nil
 	}
--- a/cmd/shallotctl/main_test.go
+++ b/cmd/shallotctl/main_test.go
@@ -22,7 +22,7 @@
 	"github.com/shallotrouter/shallotrouter/internal/stager"
 )
 
-// session is a deployment and a place for files.
+// session is a deployment and a folder for the files of a test.
 type session struct {
 	*stager.Stage
 	t     *testing.T
@@ -39,128 +39,130 @@
 	return &session{Stage: s, t: t, dir: t.TempDir(), hosts: "http://" + s.Nodes[0].Address + ",http://" + s.Nodes[1].Address}
 }
 
-// file writes a file and returns its path.
-func (s *session) file(name, text string) string {
+// writeFile writes a file and returns its path.
+func (s *session) writeFile(name, text string) string {
 	path := filepath.Join(s.dir, name)
 	require.NoError(s.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// run runs the tool and returns its exit code and what it wrote.
-func run(args ...string) (code int, out, errors string) {
+// runTool runs the tool and returns its exit code and its output.
+func runTool(args ...string) (code int, out, errors string) {
 	var o, e bytes.Buffer
-	code = (&tool{out: &o, errors: &e}).execute(context.Background(), args)
+	code = (&tool{out: &o, errorOutput: &e}).execute(context.Background(), args)
 	return code, o.String(), e.String()
 }
 
-func TestChanges(t *testing.T) {
+func TestDeclarationsAreCheckedAndApplied(t *testing.T) {
 	s := newSession(t)
-	good := s.file("good.ini", s.Declarations()+"[client new]\ntoken = sha256:"+hash+"\n")
-	bad := s.file("bad.ini", "[service x]\nslots = many\n[client a]\n[clinet b]\n")
+	good := s.writeFile("good.ini", s.Declarations()+"[client new]\ntoken = sha256:"+tokenHash+"\n")
+	bad := s.writeFile("bad.ini", "[service x]\nslots = many\n[client a]\n[clinet b]\n")
 
-	code, _, errors := run("check", bad)
+	code, _, errors := runTool("check", bad)
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "bad.ini:2: [service x] slots")
 	assert.Contains(t, errors, "bad.ini: [client a] token: missing")
 	assert.Contains(t, errors, "bad.ini:4: [clinet b]: unknown section")
 
-	code, out, _ := run("diff", "-platform", s.PlatformAddress(), good)
+	code, out, _ := runTool("diff", "-platform", s.PlatformAddress(), good)
 	assert.Equal(t, 0, code)
 	assert.Contains(t, out, "+[client new]")
 
-	code, out, errors = run("apply", "-platform", s.PlatformAddress(), "-author", "ana", good)
+	code, out, errors = runTool("apply", "-platform", s.PlatformAddress(), "-author", "ana", good)
 	require.Equal(t, 0, code, errors)
 	assert.Contains(t, out, "version 2 is accepted")
-	code, out, errors = run("wait", "-hosts", s.hosts, "-version", "2")
+	code, out, errors = runTool("wait", "-hosts", s.hosts, "-version", "2")
 	require.Equal(t, 0, code, errors)
-	assert.Contains(t, out, "in force on all 2 hosts")
+	assert.Contains(t, out, "active on all 2 hosts")
 
-	code, _, errors = run("apply", "-platform", s.PlatformAddress(), "-base", "1", "-author", "luis", good)
+	code, _, errors = runTool("apply", "-platform", s.PlatformAddress(), "-base", "1", "-author", "luis", good)
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "the change of ana")
 
-	code, _, errors = run("preset", "-platform", s.PlatformAddress(), "holiday")
+	code, _, errors = runTool("preset", "-platform", s.PlatformAddress(), "holiday")
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "switch to ordinary, peak or maintenance")
-	code, _, _ = run("preset", "-platform", s.PlatformAddress(), "peak")
+	code, _, _ = runTool("preset", "-platform", s.PlatformAddress(), "peak")
 	assert.Equal(t, 0, code)
-	code, out, _ = run("history", "-platform", s.PlatformAddress())
+	code, out, _ = runTool("history", "-platform", s.PlatformAddress())
 	assert.Equal(t, 0, code)
 	assert.Contains(t, out, "preset peak")
-	code, _, errors = run("wait", "-hosts", s.hosts, "-version", "9", "-timeout", "300ms")
+	code, _, errors = runTool("wait", "-hosts", s.hosts, "-version", "9", "-timeout", "300ms")
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "z-h0 has version")
 }
 
-// hash stands for a token's SHA-256.
-const hash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
+// tokenHash stands in for the SHA-256 hash of a token.
+const tokenHash = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
-// TestLostAnswer loses the platform's answer to a write that took effect.
-func TestLostAnswer(t *testing.T) {
+// TestChangeWithLostAnswerIsConfirmed loses the platform's answer to a write that took
+// effect; the change must be reported as accepted. While the platform is down, a change
+// must be reported as failed.
+func TestChangeWithLostAnswerIsConfirmed(t *testing.T) {
 	s := newSession(t)
 	s.Platform.Set(faker.Faults{Lose: 1})
-	code, out, errors := run("preset", "-platform", s.PlatformAddress(), "peak")
+	code, out, errors := runTool("preset", "-platform", s.PlatformAddress(), "peak")
 	assert.Equal(t, 0, code, errors)
 	assert.Contains(t, out, "version 2 is accepted")
 	s.Platform.Set(faker.Faults{Outage: true})
-	code, _, _ = run("preset", "-platform", s.PlatformAddress(), "-timeout", "300ms", "ordinary")
-	assert.Equal(t, exitFailed, code, "nothing was written")
+	code, _, _ = runTool("preset", "-platform", s.PlatformAddress(), "-timeout", "300ms", "ordinary")
+	assert.Equal(t, exitFailed, code, "the change is reported as failed because nothing was written")
 }
 
 func TestStatusAndDrain(t *testing.T) {
 	s := newSession(t)
-	code, out, _ := run("status", "-hosts", s.hosts, "-json")
+	code, out, _ := runTool("status", "-hosts", s.hosts, "-json")
 	require.Equal(t, 0, code)
 	var findings []operator.Finding
 	require.NoError(t, json.Unmarshal([]byte(out), &findings))
 	require.Len(t, findings, 2)
 	assert.Len(t, findings[0].Status.Targets, 2)
 
-	code, _, errors := run("drain", "-platform", s.PlatformAddress(), "target", "z-t0")
+	code, _, errors := runTool("drain", "-platform", s.PlatformAddress(), "target", "z-t0")
 	require.Equal(t, 0, code, errors)
-	code, _, _ = run("wait", "-hosts", s.hosts, "-version", strconv.Itoa(2))
+	code, _, _ = runTool("wait", "-hosts", s.hosts, "-version", strconv.Itoa(2))
 	require.Equal(t, 0, code)
-	code, out, _ = run("status", "-hosts", s.hosts)
+	code, out, _ = runTool("status", "-hosts", s.hosts)
 	assert.Equal(t, 0, code)
 	assert.Regexp(t, `z-h0 +z-t0 +despacho +leaving`, out)
 
-	code, _, errors = run("drain", "-hosts", s.hosts, "host", "z-h1")
+	code, _, errors = runTool("drain", "-hosts", s.hosts, "host", "z-h1")
 	require.Equal(t, 0, code, errors)
 	<-s.Nodes[1].Ended()
-	code, _, errors = run("drain", "-hosts", s.hosts, "host", "nobody")
+	code, _, errors = runTool("drain", "-hosts", s.hosts, "host", "nobody")
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "no host named nobody")
 }
 
-func TestSubmit(t *testing.T) {
+func TestSubmitWritesAnswer(t *testing.T) {
 	s := newSession(t)
-	job := s.file("job.json", `{"service": "despacho", "deadline": "5s", "tasks": [{"kind": "confirm", "payload": "aGVsbG8="}]}`)
-	code, out, errors := run("submit", "-host", "http://"+s.Nodes[0].Address, job)
+	job := s.writeFile("job.json", `{"service": "despacho", "deadline": "5s", "tasks": [{"kind": "confirm", "payload": "aGVsbG8="}]}`)
+	code, out, errors := runTool("submit", "-host", "http://"+s.Nodes[0].Address, job)
 	assert.Equal(t, 0, code, errors)
 	assert.Contains(t, out, "complete on z-h0")
 	assert.Contains(t, out, "0\thello")
-	code, out, _ = run("submit", "-host", "http://"+s.Nodes[0].Address, s.file("other.json", `{"service": "none", "deadline": "5s", "tasks": [{"kind": "k"}]}`))
+	code, out, _ = runTool("submit", "-host", "http://"+s.Nodes[0].Address, s.writeFile("other.json", `{"service": "none", "deadline": "5s", "tasks": [{"kind": "k"}]}`))
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, out, "refused")
 }
 
-func TestUsage(t *testing.T) {
+func TestWrongUsageIsReported(t *testing.T) {
 	for _, c := range commands() {
-		code, _, errors := run(c.name, "-h")
+		code, _, errors := runTool(c.name, "-h")
 		assert.Equal(t, 0, code, c.name)
 		assert.Contains(t, errors, "usage: shallotctl "+c.name)
-		code, _, _ = run(c.name, "-nonsense")
+		code, _, _ = runTool(c.name, "-nonsense")
 		assert.Equal(t, exitUsage, code, c.name)
 	}
-	code, _, _ := run("nonsense")
+	code, _, _ := runTool("nonsense")
 	assert.Equal(t, exitUsage, code)
-	code, _, _ = run()
+	code, _, _ = runTool()
 	assert.Equal(t, exitUsage, code)
 }
 
-// TestPools shows what hosts believe, as a table and as JSON, and fails when something
-// is wrong.
-func TestPools(t *testing.T) {
+// TestPoolsShowsStateAndFindings shows the state of hosts as tables and as JSON. The
+// command must fail if there are findings.
+func TestPoolsShowsStateAndFindings(t *testing.T) {
 	state := router.State{
 		Host: "a", Zone: "north", Slot: 1, Config: 4,
 		Cells:   []router.CellState{{Zone: "north", Holder: "a", Token: 77, Reachable: true}},
@@ -172,12 +174,12 @@
 	}))
 	defer server.Close()
 	links := server.Listener.Addr().String()
-	code, out, errors := run("pools", "-links", links)
+	code, out, errors := runTool("pools", "-links", links)
 	require.Equal(t, 0, code, errors)
 	assert.Regexp(t, `a +north +a +77 +true`, out)
 	assert.Regexp(t, `a +i-1 +north +work +barred +0 +8000`, out)
 
-	code, out, _ = run("pools", "-json", "-links", links+",127.0.0.1:1")
+	code, out, _ = runTool("pools", "-json", "-links", links+",127.0.0.1:1")
 	assert.Equal(t, exitFailed, code)
 	var report poolsReport
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
@@ -185,7 +187,7 @@
 	require.Len(t, report.Findings, 1)
 	assert.Contains(t, report.Findings[0], "127.0.0.1:1 does not answer")
 
-	code, _, errors = run("pools", "north")
+	code, _, errors = runTool("pools", "north")
 	assert.Equal(t, exitUsage, code)
 	assert.Contains(t, errors, "usage: shallotctl pools")
 }
--- a/cmd/shallotctl/pools.go
+++ b/cmd/shallotctl/pools.go
@@ -13,30 +13,30 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// poolsReport is the JSON output of the command.
+// poolsReport is the JSON output of the pools command.
 type poolsReport struct {
 	Hosts    []inspector.Sight `json:"hosts"`
 	Findings []string          `json:"findings"`
 }
 
-// runPools shows who holds which leased targets. It fails when hosts do not answer or do
-// not agree.
+// runPools shows which hosts hold which leased targets. It fails if there are findings,
+// such as hosts that do not answer or that disagree.
 func runPools(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("pools", "")
-	links := set.String("links", "127.0.0.1:7102", "the `addresses` of the entry hosts' links or metrics, with commas")
-	bound := set.Duration("timeout", 5*time.Second, "how long to wait for answers")
+	set := t.newFlagSet("pools", "")
+	links := set.String("links", "127.0.0.1:7102", "the `addresses` of the entry hosts' links or metrics, separated by commas")
+	timeout := set.Duration("timeout", 5*time.Second, "how long to wait for answers")
 	asJSON := set.Bool("json", false, "write JSON")
-	if err := parse(set, args, 0); err != nil {
+	if err := parseFlags(set, args, 0); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, *bound)
+	ctx, cancel := context.WithTimeout(ctx, *timeout)
 	defer cancel()
 	i := &inspector.Inspector{Hosts: strings.Split(*links, ","), HTTP: &http.Client{}}
 	report := poolsReport{Hosts: i.Look(ctx)}
 	report.Findings = inspector.Findings(report.Hosts)
 	var err error
 	if *asJSON {
-		err = t.json(report)
+		err = t.writeJSON(report)
 	} else {
 		err = writePools(t.out, report)
 	}
@@ -46,14 +46,14 @@
 	return err
 }
 
-// writePools writes the hosts, the holders, the targets as their holders see them, and
-// the findings.
+// writePools writes tables of the hosts, of each zone's holder as seen by each host, and
+// of the targets as seen by their holders, and then the findings.
 func writePools(out io.Writer, report poolsReport) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tZONE\tSLOT\tCONFIG\tTARGETS READ\tREACHED\tOPEN JOBS\tWAITING\tRUNNING\tLEAVING")
 	for _, h := range report.Hosts {
 		if s := h.State; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%d\t%d\t%d\t%t\n", s.Host, s.Zone, s.Slot, s.Config, age(s.DirectoryAge), reached(s), len(s.Peers), s.Open, s.Waiting, s.Running, s.Leaving)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%d\t%d\t%d\t%t\n", s.Host, s.Zone, s.Slot, s.Config, formatAge(s.DirectoryAge), countReachablePeers(s), len(s.Peers), s.Open, s.Waiting, s.Running, s.Leaving)
 		}
 	}
 	fmt.Fprintln(w, "\nHOST\tZONE\tHOLDER\tTOKEN\tHELD\tABSENT")
@@ -72,7 +72,7 @@
 		}
 		for _, x := range h.State.Targets {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t%v\n", h.State.Host, x.ID, x.Zone, x.Service, x.State,
-				x.Used.CPU, x.Capacity.CPU, x.Used.Memory, x.Capacity.Memory, x.Runs, age(x.Age), x.EjectedFor.Round(time.Millisecond))
+				x.Used.CPU, x.Capacity.CPU, x.Used.Memory, x.Capacity.Memory, x.Runs, formatAge(x.Age), x.EjectedFor.Round(time.Millisecond))
 		}
 	}
 	fmt.Fprintln(w)
@@ -82,8 +82,8 @@
 	return w.Flush()
 }
 
-// reached counts the hosts that a host reaches.
-func reached(s *router.State) int {
+// countReachablePeers returns the number of peers that a host can reach.
+func countReachablePeers(s *router.State) int {
 	n := 0
 	for _, p := range s.Peers {
 		if p.Reachable {
--- a/cmd/shallotctl/submit.go
+++ b/cmd/shallotctl/submit.go
@@ -10,31 +10,31 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// answerGrace is how long past its deadline a job's answer is waited for.
-const answerGrace = 10 * time.Second
+// answerMargin is how long after a job's deadline its answer is still waited for.
+const answerMargin = 10 * time.Second
 
 func runSubmit(ctx context.Context, t *tool, args []string) error {
-	set := t.flags("submit", "FILE")
+	set := t.newFlagSet("submit", "FILE")
 	address := set.String("host", "http://127.0.0.1:7100", "the base `URL` of an entry host")
-	token := set.String("token-file", "", "the `file` with the client's token; default is $SHALLOTROUTER_TOKEN")
-	authority := set.String("authority", "", "the PEM `file` of who signed the host's certificate, for https")
+	tokenFile := set.String("token-file", "", "the `file` with the client's token; the default token is $SHALLOTROUTER_TOKEN")
+	authorityFile := set.String("authority", "", "the PEM `file` of the authority that signed the host's certificate, for https")
 	asJSON := set.Bool("json", false, "write JSON")
-	if err := parse(set, args, 1); err != nil {
+	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
 	job, err := readJob(set.Arg(0))
 	if err != nil {
 		return err
 	}
-	caller, err := web(*authority)
+	httpClient, err := newHTTPClient(*authorityFile)
 	if err != nil {
 		return err
 	}
-	client := &shallotrouter.Client{Address: *address, HTTP: caller}
-	if client.Token, err = secret(*token, "SHALLOTROUTER_TOKEN"); err != nil {
+	client := &shallotrouter.Client{Address: *address, HTTP: httpClient}
+	if client.Token, err = readToken(*tokenFile, "SHALLOTROUTER_TOKEN"); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, job.Deadline.Std()+answerGrace)
+	ctx, cancel := context.WithTimeout(ctx, job.Deadline.Std()+answerMargin)
 	defer cancel()
 	if job.Ticket == "" {
 		grant, err := client.Tickets(ctx, 1)
@@ -45,12 +45,12 @@
 	}
 	answer, err := client.Submit(ctx, job)
 	if err != nil {
-		return fmt.Errorf("no answer came and the job may have run; submit the same file with \"ticket\": %q: %w", job.Ticket, err)
+		return fmt.Errorf("no answer arrived and the job may have run; submit the same file with \"ticket\": %q: %w", job.Ticket, err)
 	}
-	return t.answer(answer, *asJSON)
+	return t.writeAnswer(answer, *asJSON)
 }
 
-// readJob reads a job as JSON.
+// readJob reads a job from a JSON file.
 func readJob(path string) (shallotrouter.Job, error) {
 	var job shallotrouter.Job
 	data, err := os.ReadFile(path)
@@ -63,10 +63,10 @@
 	return job, nil
 }
 
-// answer writes an answer; only a complete one is a success.
-func (t *tool) answer(a shallotrouter.Answer, asJSON bool) error {
+// writeAnswer writes an answer. It returns an error unless the job is complete.
+func (t *tool) writeAnswer(a shallotrouter.Answer, asJSON bool) error {
 	if asJSON {
-		if err := t.json(a); err != nil {
+		if err := t.writeJSON(a); err != nil {
 			return err
 		}
 	} else {
