--- a/cmd/shallotmodel/plot.go
+++ b/cmd/shallotmodel/plot.go
@@ -16,89 +16,90 @@
 	"github.com/shallotrouter/shallotrouter/internal/modeler"
 )
 
-// The size of a plot fits a page's width.
+// A plot fits the width of a page.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 )
 
-// plotter writes plots to a folder. The format is svg or png.
-type plotter struct{ folder, format string }
+// plotWriter writes plots to a folder. The format is svg or png.
+type plotWriter struct{ folder, format string }
 
-// place returns the path of a plot.
-func (p plotter) place(format string, args ...any) string {
+// path returns the path of the plot with the given name.
+func (p plotWriter) path(format string, args ...any) string {
 	return filepath.Join(p.folder, fmt.Sprintf(format, args...)+"."+p.format)
 }
 
-// sorted returns a map's keys in order.
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of a map in ascending order.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// all writes worth against load, and worth over time, by kind and by zone for each load.
-func (p plotter) all(rows []modeler.Row) error {
+// writeAll writes a plot of the benefit value (worth) against the load, and for each load
+// plots of the benefit value over time, by kind of job and by zone.
+func (p plotWriter) writeAll(rows []modeler.Row) error {
 	if err := os.MkdirAll(p.folder, 0o755); err != nil {
 		return err
 	}
-	byLoad := make(map[string]shape.XYs)
-	perLoad := make(map[float64][]modeler.Row)
+	pointsByPolicy := make(map[string]shape.XYs)
+	rowsByLoad := make(map[float64][]modeler.Row)
 	for _, r := range rows {
-		byLoad[r.Policy] = append(byLoad[r.Policy], shape.XY{X: r.Load, Y: r.Worth})
-		perLoad[r.Load] = append(perLoad[r.Load], r)
+		pointsByPolicy[r.Policy] = append(pointsByPolicy[r.Policy], shape.XY{X: r.Load, Y: r.Worth})
+		rowsByLoad[r.Load] = append(rowsByLoad[r.Load], r)
 	}
-	for _, r := range perLoad {
-		byLoad["bound"] = append(byLoad["bound"], shape.XY{X: r[0].Load, Y: r[0].Bound})
+	for _, r := range rowsByLoad {
+		pointsByPolicy["bound"] = append(pointsByPolicy["bound"], shape.XY{X: r[0].Load, Y: r[0].Bound})
 	}
-	slices.SortFunc(byLoad["bound"], func(a, b shape.XY) int { return cmp.Compare(a.X, b.X) })
-	if len(perLoad) > 1 {
-		if err := lines(byLoad, "Worth against load", "load", p.place("load")); err != nil {
+	slices.SortFunc(pointsByPolicy["bound"], func(a, b shape.XY) int { return cmp.Compare(a.X, b.X) })
+	if len(rowsByLoad) > 1 {
+		if err := writeLineChart(pointsByPolicy, "Worth against load", "load", p.path("load")); err != nil {
 			return err
 		}
 	}
-	for load, list := range perLoad {
-		if err := p.one(load, list); err != nil {
+	for load, list := range rowsByLoad {
+		if err := p.writeLoad(load, list); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// one writes the plots of one load.
-func (p plotter) one(load float64, rows []modeler.Row) error {
-	overTime := make(map[string]shape.XYs)
-	kinds, zones := make(map[string]map[string]float64), make(map[string]map[string]float64)
+// writeLoad writes the plots for one load.
+func (p plotWriter) writeLoad(load float64, rows []modeler.Row) error {
+	pointsByPolicy := make(map[string]shape.XYs)
+	byKind, byZone := make(map[string]map[string]float64), make(map[string]map[string]float64)
 	for _, r := range rows {
-		for second, worth := range r.Seconds {
-			overTime[r.Policy] = append(overTime[r.Policy], shape.XY{X: float64(second), Y: worth})
+		for second, benefit := range r.Seconds {
+			pointsByPolicy[r.Policy] = append(pointsByPolicy[r.Policy], shape.XY{X: float64(second), Y: benefit})
 		}
-		zones[r.Policy] = r.Zones
-		kinds[r.Policy] = make(map[string]float64)
+		byZone[r.Policy] = r.Zones
+		byKind[r.Policy] = make(map[string]float64)
 		for name, k := range r.Kinds {
-			kinds[r.Policy][name] = k.Worth
+			byKind[r.Policy][name] = k.Worth
 		}
 	}
-	if err := lines(overTime, fmt.Sprintf("Worth by second at load %.2f", load), "seconds", p.place("time-%.2f", load)); err != nil {
+	if err := writeLineChart(pointsByPolicy, fmt.Sprintf("Worth by second at load %.2f", load), "seconds", p.path("time-%.2f", load)); err != nil {
 		return err
 	}
-	if err := bars(kinds, fmt.Sprintf("Worth by kind at load %.2f", load), p.place("kinds-%.2f", load)); err != nil {
+	if err := writeBarChart(byKind, fmt.Sprintf("Worth by kind at load %.2f", load), p.path("kinds-%.2f", load)); err != nil {
 		return err
 	}
-	return bars(zones, fmt.Sprintf("Worth by zone at load %.2f", load), p.place("zones-%.2f", load))
+	return writeBarChart(byZone, fmt.Sprintf("Worth by zone at load %.2f", load), p.path("zones-%.2f", load))
 }
 
-// sheet returns an empty plot of worth.
-func sheet(title string) *plot.Plot {
+// newPlot returns an empty plot whose vertical axis is the benefit value (worth).
+func newPlot(title string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, "worth"
-	p.Y.Min, p.Y.Max = 0, 1.02 // a line at 1 stays in sight
+	p.Y.Min, p.Y.Max = 0, 1.02 // keeps a line at 1 visible
 	p.Legend.Left = true
 	p.Add(shape.NewGrid())
 	return p
 }
 
-// lines writes a line for each name.
-func lines(data map[string]shape.XYs, title, x, path string) error {
-	p := sheet(title)
-	p.X.Label.Text = x
-	for i, name := range sorted(data) {
+// writeLineChart writes a plot with one line per name.
+func writeLineChart(data map[string]shape.XYs, title, xLabel, path string) error {
+	p := newPlot(title)
+	p.X.Label.Text = xLabel
+	for i, name := range sortedKeys(data) {
 		line, err := shape.NewLine(data[name])
 		if err != nil {
 			return err
@@ -110,16 +111,17 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// bars writes a group of bars for each key, with one for each name.
-func bars(data map[string]map[string]float64, title, path string) error {
-	p := sheet(title)
-	names := sorted(data)
+// writeBarChart writes a plot with a group of bars per key and one bar per name in each
+// group.
+func writeBarChart(data map[string]map[string]float64, title, path string) error {
+	p := newPlot(title)
+	names := sortedKeys(data)
 	p.Y.Max, p.Legend.Top = 1.3, true // room for the legend
 	p.X.Min, p.X.Max = -0.5, float64(len(data[names[0]]))-0.5
 	width := plotWidth / vg.Length(2*(len(names)+1)*len(data[names[0]]))
 	for i, name := range names {
 		var values shape.Values
-		for _, key := range sorted(data[name]) {
+		for _, key := range sortedKeys(data[name]) {
 			values = append(values, data[name][key])
 		}
 		chart, err := shape.NewBarChart(values, width)
@@ -130,6 +132,6 @@
 		p.Add(chart)
 		p.Legend.Add(name, chart)
 	}
-	p.NominalX(sorted(data[names[0]])...)
+	p.NominalX(sortedKeys(data[names[0]])...)
 	return p.Save(plotWidth, plotHeight, path)
 }
