--- a/internal/loader/keys.go
+++ b/internal/loader/keys.go
@@ -31,21 +31,21 @@
 	checkedAt  time.Time
 }
 
-// NewKeys loads the PEM files at the given paths. TLS is off if the path of the
-// certificate is empty; an empty authority stands for the system's root certificates.
-func NewKeys(certificate, key, authority string, clock clockwork.Clock) (*Keys, error) {
-	k := &Keys{certificatePath: certificate, keyPath: key, clock: clock}
-	if certificate == "" {
+// NewKeys loads the PEM files at the given paths. TLS is off if certificatePath is empty.
+// If authorityPath is empty, clients trust the system's root certificates.
+func NewKeys(certificatePath, keyPath, authorityPath string, clock clockwork.Clock) (*Keys, error) {
+	k := &Keys{certificatePath: certificatePath, keyPath: keyPath, clock: clock}
+	if certificatePath == "" {
 		return k, nil
 	}
-	if authority != "" {
-		pem, err := os.ReadFile(authority)
+	if authorityPath != "" {
+		pem, err := os.ReadFile(authorityPath)
 		if err != nil {
 			return nil, merry.Prepend(err, "the authority file cannot be read; correct [security] authority")
 		}
 		k.rootCAs = x509.NewCertPool()
 		if !k.rootCAs.AppendCertsFromPEM(pem) {
-			return nil, merry.Errorf("%s contains no certificate; correct [security] authority", authority)
+			return nil, merry.Errorf("%s contains no certificate; correct [security] authority", authorityPath)
 		}
 	}
 	_, err := k.currentCertificate(nil)
--- a/internal/loader/keys_test.go
+++ b/internal/loader/keys_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestClientVerifiesCertificates requires that a client accepts only servers whose
-// certificate its authority has signed.
+// certificate its authority has signed, and that a missing certificate file is an error.
 func TestClientVerifiesCertificates(t *testing.T) {
 	certificate, key := writePair(t, t.TempDir(), 1)
 	keys, err := NewKeys(certificate, key, certificate, clockwork.NewRealClock())
--- a/internal/loader/node.go
+++ b/internal/loader/node.go
@@ -7,8 +7,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Node are the settings of an entry host that runs as a platform node. They do not
-// change while the daemon runs.
+// Node are the settings of an entry host that runs internal/router, on a platform of
+// leased targets. They do not change while the daemon runs.
 type Node struct {
 	// Name is the host's name, unique in the deployment, and Zone its availability zone.
 	Name string
@@ -48,8 +48,8 @@
 	Settings []parser.Setting
 }
 
-// IsNode reports whether INI text contains the settings of a Node. It recognises them
-// by their [node] section; the text for Parse has none.
+// IsNode reports whether INI text contains the settings of a Node, which have a [node]
+// section. Those of a daemon with its own platform service have none; see Settings.
 func IsNode(text string) bool { return parser.Parse("", text).Has("node") }
 
 // ParseNode reads settings from INI text. The name of the file is used in error texts.
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -1,4 +1,5 @@
-// Package loader reads the settings of a daemon.
+// Package loader reads the settings of a daemon: Settings for internal/scheduler, Node for
+// internal/router.
 package loader
 
 import (
@@ -10,7 +11,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Settings are the settings of one daemon. They do not change while it runs.
+// Settings are the settings of an entry host that runs internal/scheduler, with its own
+// platform service. They do not change while the daemon runs.
 type Settings struct {
 	// Name is the host's name, unique in the deployment.
 	Name string
--- a/internal/stager/stage.go
+++ b/internal/stager/stage.go
@@ -190,8 +190,8 @@
 	listener net.Listener
 }
 
-func (w *standInServer) run() {
-	_ = w.server.Serve(w.listener) // returns ErrServerClosed when the stage is closed
+func (s *standInServer) run() {
+	_ = s.server.Serve(s.listener) // returns ErrServerClosed when the stage is closed
 }
 
 // Declarations returns the stage's declarations as INI text.
