--- a/cmd/shallotctl/hosts.go
+++ b/cmd/shallotctl/hosts.go
@@ -152,16 +152,16 @@
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	p := &progress{out: t.out, terminal: isTerminal(t.out)}
-	missing := s.Wait(ctx, *version, p.show)
+	outdated := s.Wait(ctx, *version, p.show)
 	p.end()
-	for _, f := range missing {
+	for _, f := range outdated {
 		if f.Status == nil {
 			fmt.Fprintf(t.errorOutput, "%s: version unknown: %s\n", f.Address, f.Problem)
 			continue
 		}
 		fmt.Fprintf(t.errorOutput, "%s has version %d\n", f.Status.Host, f.Status.Version)
 	}
-	if len(missing) > 0 {
+	if len(outdated) > 0 {
 		return errFailed
 	}
 	fmt.Fprintf(t.out, "version %d is active on all %d hosts\n", *version, len(s.Hosts))
@@ -176,8 +176,8 @@
 	lastText string
 }
 
-func (p *progress) show(reached, total int) {
-	text := fmt.Sprintf("active on %d of %d hosts", reached, total)
+func (p *progress) show(active, total int) {
+	text := fmt.Sprintf("active on %d of %d hosts", active, total)
 	switch {
 	case p.terminal:
 		fmt.Fprintf(p.out, "\r%s", text)
--- a/cmd/shallotrouter/failure_test.go
+++ b/cmd/shallotrouter/failure_test.go
@@ -22,16 +22,16 @@
 
 // submitInBackground submits jobs in the background. It returns the submissions and
 // a function that waits for their answers.
-func (d *deployment) submitInBackground(host *process, client string, jobs, tasks int, run, deadline time.Duration) ([]*submission, func()) {
+func (d *deployment) submitInBackground(host *process, client string, jobs, tasks int, runTime, deadline time.Duration) ([]*submission, func()) {
 	var list []*submission
-	runs := make([]time.Duration, tasks)
-	for i := range runs {
-		runs[i] = run
+	runTimes := make([]time.Duration, tasks)
+	for i := range runTimes {
+		runTimes[i] = runTime
 	}
 	for i := range jobs {
 		list = append(list, &submission{
-			caller: d.client(host, client),
-			job:    newJob(d.newTicket(host, client), fmt.Sprint("load", i), deadline, runs...),
+			client: d.client(host, client),
+			job:    newJob(d.newTicket(host, client), fmt.Sprint("load", i), deadline, runTimes...),
 		})
 	}
 	var group sync.WaitGroup
@@ -98,7 +98,7 @@
 	job := newJob(d.newTicket(d.daemons[0], "comites"), "same", 10*time.Second, 100*time.Millisecond, 50*time.Millisecond)
 	var list []*submission
 	for _, p := range d.daemons {
-		list = append(list, &submission{caller: d.client(p, "comites"), job: job})
+		list = append(list, &submission{client: d.client(p, "comites"), job: job})
 	}
 	submitAll(t.Context(), list)
 	for _, s := range list {
@@ -115,10 +115,10 @@
 // that the jobs are lost, and no task may start twice.
 func TestJobsOfKilledHostAreLost(t *testing.T) {
 	d := deploy(t, "", 1, 3, "bogota-norte")
-	victim := d.daemons[0]
-	list, wait := d.submitInBackground(victim, "comites", 4, 10, 300*time.Millisecond, 20*time.Second)
+	killed := d.daemons[0]
+	list, wait := d.submitInBackground(killed, "comites", 4, 10, 300*time.Millisecond, 20*time.Second)
 	d.awaitStarts(3)
-	victim.kill()
+	killed.kill()
 	wait()
 	before := len(d.totalCounts().Starts)
 	for _, p := range d.daemons[1:] {
@@ -129,15 +129,15 @@
 			assert.Equal(t, shallotrouter.Unreachable, a.Reason)
 		}
 	}
-	next := d.startDaemonAt(victim.name, victim.zone, victim.address)
-	d.await(func() bool { return d.status(next).Phase == scheduler.Serving })
+	restarted := d.startDaemonAt(killed.name, killed.zone, killed.address)
+	d.await(func() bool { return d.status(restarted).Phase == scheduler.Serving })
 	for _, s := range list {
-		a, err := d.client(next, "comites").Submit(t.Context(), s.job)
+		a, err := d.client(restarted, "comites").Submit(t.Context(), s.job)
 		require.NoError(t, err)
 		assert.Equal(t, shallotrouter.Lost, a.Outcome)
 		assert.Equal(t, shallotrouter.Restarted, a.Reason)
 	}
-	a, err := d.client(next, "comites").Submit(t.Context(), newJob(d.newTicket(next, "comites"), "new", 10*time.Second, time.Millisecond))
+	a, err := d.client(restarted, "comites").Submit(t.Context(), newJob(d.newTicket(restarted, "comites"), "new", 10*time.Second, time.Millisecond))
 	require.NoError(t, err)
 	assert.Equal(t, shallotrouter.Complete, a.Outcome, a.Message)
 	assert.LessOrEqual(t, len(d.totalCounts().Starts), before+8+1) // at most the tasks in flight and the new one
@@ -168,9 +168,9 @@
 	}
 	assert.Positive(t, failed)
 	assert.Equal(t, 6, complete+failed)
-	again, wait := d.submitInBackground(host, "comites", 5, 3, 10*time.Millisecond, 20*time.Second)
+	laterList, wait := d.submitInBackground(host, "comites", 5, 3, 10*time.Millisecond, 20*time.Second)
 	wait()
-	for _, s := range again {
+	for _, s := range laterList {
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
 	}
 	d.requireNoRepeatedStarts()
@@ -185,7 +185,7 @@
 	list, wait := d.submitInBackground(host, "comites", 3, 1, 5*time.Second, 2500*time.Millisecond)
 	// The 51 tasks of 5 s take 64 s on the host's half of the slots. Until the other host
 	// has reported that it needs none, the host relies on its own half only.
-	patient, waitPatient := d.submitInBackground(host, "cruzroja", 12, 4, 5*time.Second, 2*time.Minute)
+	longList, waitLong := d.submitInBackground(host, "cruzroja", 12, 4, 5*time.Second, 2*time.Minute)
 	d.await(func() bool { return d.taskCount(host, "comites") == 3 && d.taskCount(host, "cruzroja") == 48 })
 	d.awaitStarts(8)
 	host.signal(t, syscall.SIGSTOP)
@@ -193,8 +193,8 @@
 	startsAtResume := len(d.totalCounts().Starts)
 	host.signal(t, syscall.SIGCONT)
 	wait()
-	waitPatient()
-	list = append(list, patient...)
+	waitLong()
+	list = append(list, longList...)
 	d.requireTruthfulAnswers(host, list)
 	assert.Len(t, d.totalCounts().Starts, startsAtResume, "no task starts after the resume")
 	paused := 0
@@ -319,9 +319,9 @@
 func TestHostStartsDuringPlatformOutage(t *testing.T) {
 	d := deploy(t, "", 2, 2, "bogota-norte")
 	d.putJSON(d.platform, "/faults", faker.Faults{Outage: true})
-	fresh := d.startDaemon("bogota-norte-new", "bogota-norte")
-	d.await(func() bool { return d.status(fresh).Phase == scheduler.Serving })
-	list, wait := d.submitInBackground(fresh, "comites", 5, 3, 10*time.Millisecond, 10*time.Second)
+	newHost := d.startDaemon("bogota-norte-new", "bogota-norte")
+	d.await(func() bool { return d.status(newHost).Phase == scheduler.Serving })
+	list, wait := d.submitInBackground(newHost, "comites", 5, 3, 10*time.Millisecond, 10*time.Second)
 	wait()
 	for _, s := range list {
 		assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, s.answer.Message)
--- a/cmd/shallotrouter/main.go
+++ b/cmd/shallotrouter/main.go
@@ -3,8 +3,8 @@
 //	shallotrouter [-config FILE.ini]
 //
 // Without -config it reads the settings file that the environment variable
-// SHALLOTROUTER_NODE_FILE names. If the file has a [node] section, the daemon runs as a
-// platform node.
+// SHALLOTROUTER_NODE_FILE names. If the file has a [node] section, the daemon runs
+// internal/router on a platform of leased targets, else internal/scheduler.
 //
 // It exits with 0 after a graceful shutdown, 1 if it fails while it runs and 2 if its
 // settings are wrong. SIGTERM or SIGINT starts a graceful shutdown; a second signal stops
@@ -82,9 +82,9 @@
 
 // shutDownOnSignals shuts the daemon down on SIGTERM or SIGINT.
 func shutDownOnSignals(daemon stopper) {
-	w := &signalHandler{daemon: daemon, signals: make(chan os.Signal, 2)}
-	signal.Notify(w.signals, syscall.SIGTERM, syscall.SIGINT)
-	go w.run()
+	h := &signalHandler{daemon: daemon, signals: make(chan os.Signal, 2)}
+	signal.Notify(h.signals, syscall.SIGTERM, syscall.SIGINT)
+	go h.run()
 }
 
 // signalHandler shuts a daemon down on signals.
@@ -94,11 +94,11 @@
 }
 
 // run drains on the first signal and stops on the second.
-func (w *signalHandler) run() {
-	<-w.signals
-	w.daemon.Drain()
-	<-w.signals
-	w.daemon.Stop()
+func (h *signalHandler) run() {
+	<-h.signals
+	h.daemon.Drain()
+	<-h.signals
+	h.daemon.Stop()
 }
 
 // buildVersion returns the module's version from the build information.
--- a/cmd/shallotrouter/node.go
+++ b/cmd/shallotrouter/node.go
@@ -28,8 +28,8 @@
 // and the live heap is only a few MB.
 const gcPercent = 200
 
-// runNode runs the daemon as a platform node and returns the exit code. If check is set,
-// it only checks and prints the settings.
+// runNode runs an entry host on a platform of leased targets and returns the exit code.
+// If check is set, it only checks and prints the settings.
 func runNode(path, text string, check bool) int {
 	settings, err := loader.ParseNode(path, text)
 	if err != nil {
@@ -54,9 +54,9 @@
 	n := &assembler.Node{Settings: settings, Clock: clocker.NewBoot(clockwork.NewRealClock()), Log: log, Meter: metrics}
 	n.Init()
 	shutDownOnSignals(n)
-	h := &settingsChecker{path: path, signals: make(chan os.Signal, 1)}
-	signal.Notify(h.signals, syscall.SIGHUP)
-	go h.run(log.WithName("settings"))
+	checker := &settingsChecker{path: path, signals: make(chan os.Signal, 1)}
+	signal.Notify(checker.signals, syscall.SIGHUP)
+	go checker.run(log.WithName("settings"))
 	if err := n.Run(context.Background()); err != nil {
 		log.Error(err, "daemon failed")
 		return exitFailed
--- a/cmd/shallotrouter/process_test.go
+++ b/cmd/shallotrouter/process_test.go
@@ -327,14 +327,14 @@
 
 // newJob returns a job with a task for each run time. The result of a task is the label
 // and the task's index.
-func newJob(ticket, label string, deadline time.Duration, runs ...time.Duration) shallotrouter.Job {
+func newJob(ticket, label string, deadline time.Duration, runTimes ...time.Duration) shallotrouter.Job {
 	job := shallotrouter.Job{Ticket: ticket, Service: service, Deadline: shallotrouter.Duration(deadline)}
-	for i, run := range runs {
-		payload, err := json.Marshal(faker.Work{Run: run, Echo: fmt.Sprintf("%s-%d", label, i)})
+	for i, runTime := range runTimes {
+		payload, err := json.Marshal(faker.Work{Run: runTime, Echo: fmt.Sprintf("%s-%d", label, i)})
 		if err != nil {
 			panic(err)
 		}
-		job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: "allocation", Payload: payload, Expect: shallotrouter.Duration(run)})
+		job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: "allocation", Payload: payload, Expect: shallotrouter.Duration(runTime)})
 	}
 	return job
 }
--- a/cmd/shallotrouter/reload.go
+++ b/cmd/shallotrouter/reload.go
@@ -15,17 +15,17 @@
 	signals chan os.Signal
 }
 
-func (h *settingsChecker) run(log logr.Logger) {
-	for range h.signals {
-		text, err := os.ReadFile(h.path)
+func (c *settingsChecker) run(log logr.Logger) {
+	for range c.signals {
+		text, err := os.ReadFile(c.path)
 		if err != nil {
-			log.Error(err, "cannot read the settings file; correct its path or permissions", "path", h.path)
+			log.Error(err, "cannot read the settings file; correct its path or permissions", "path", c.path)
 			continue
 		}
-		if _, err := loader.ParseNode(h.path, string(text)); err != nil {
-			log.Error(err, "the settings file has faults, so that the next start would fail; correct it", "path", h.path)
+		if _, err := loader.ParseNode(c.path, string(text)); err != nil {
+			log.Error(err, "the settings file has faults, so that the next start would fail; correct it", "path", c.path)
 			continue
 		}
-		log.Info("reload", "path", h.path, "outcome", "the settings are valid and take effect at the next start")
+		log.Info("reload", "path", c.path, "outcome", "settings are good; they take effect at the next start")
 	}
 }
--- a/cmd/shallotrouter/whole_test.go
+++ b/cmd/shallotrouter/whole_test.go
@@ -20,7 +20,7 @@
 
 // submission is a job that a client submits, and its answer.
 type submission struct {
-	caller *shallotrouter.Client
+	client *shallotrouter.Client
 	job    shallotrouter.Job
 	label  string
 	answer shallotrouter.Answer
@@ -30,7 +30,7 @@
 // run submits the job and waits for its answer.
 func (s *submission) run(ctx context.Context, group *sync.WaitGroup) {
 	defer group.Done()
-	s.answer, s.err = s.caller.Submit(ctx, s.job)
+	s.answer, s.err = s.client.Submit(ctx, s.job)
 }
 
 // submitAll runs all submissions concurrently and waits for their answers.
@@ -55,15 +55,15 @@
 	for i := range 200 {
 		name := clients[i%len(clients)]
 		ticketHost, submitHost := d.daemons[i%3], d.daemons[random.IntN(3)]
-		var runs []time.Duration
+		var runTimes []time.Duration
 		for range 1 + random.IntN(8) {
-			runs = append(runs, time.Duration(random.IntN(60))*time.Millisecond)
+			runTimes = append(runTimes, time.Duration(random.IntN(60))*time.Millisecond)
 		}
-		total += len(runs)
+		total += len(runTimes)
 		label := fmt.Sprint("job", i)
 		list = append(list, &submission{
-			caller: d.client(submitHost, name), label: label,
-			job: newJob(d.newTicket(ticketHost, name), label, time.Minute, runs...),
+			client: d.client(submitHost, name), label: label,
+			job: newJob(d.newTicket(ticketHost, name), label, time.Minute, runTimes...),
 		})
 	}
 	submitAll(t.Context(), list)
@@ -89,7 +89,7 @@
 	d := deploy(t, "[limits]\nbody = 20000\nticket = "+ticketLifetime.String()+"\n", 1, 1, "bogota-norte")
 	host := d.daemons[0]
 	valid := newJob(d.newTicket(host, "comites"), "x", time.Second, time.Millisecond)
-	change := func(f func(*shallotrouter.Job)) shallotrouter.Job {
+	modified := func(f func(*shallotrouter.Job)) shallotrouter.Job {
 		job := valid
 		f(&job)
 		return job
@@ -102,14 +102,14 @@
 	}{
 		{"unauthenticated", "nobody", valid, shallotrouter.Unauthorized},
 		{"other client's ticket", "cruzroja-token", valid, shallotrouter.Unauthorized},
-		{"unknown service", "comites-token", change(func(j *shallotrouter.Job) { j.Service = "none" }), shallotrouter.Unknown},
-		{"no tasks", "comites-token", change(func(j *shallotrouter.Job) { j.Tasks = nil }), shallotrouter.Malformed},
-		{"no deadline", "comites-token", change(func(j *shallotrouter.Job) { j.Deadline = 0 }), shallotrouter.Malformed},
-		{"no kind", "comites-token", change(func(j *shallotrouter.Job) { j.Tasks = []shallotrouter.Task{{}} }), shallotrouter.Malformed},
-		{"forged ticket", "comites-token", change(func(j *shallotrouter.Job) { j.Ticket = strings.Repeat("A", 80) }), shallotrouter.Malformed},
-		{"no ticket", "comites-token", change(func(j *shallotrouter.Job) { j.Ticket = "" }), shallotrouter.Malformed},
-		{"too many tasks", "comites-token", change(func(j *shallotrouter.Job) { j.Tasks = make([]shallotrouter.Task, 461) }), shallotrouter.Oversized},
-		{"too large", "comites-token", change(func(j *shallotrouter.Job) {
+		{"unknown service", "comites-token", modified(func(j *shallotrouter.Job) { j.Service = "none" }), shallotrouter.Unknown},
+		{"no tasks", "comites-token", modified(func(j *shallotrouter.Job) { j.Tasks = nil }), shallotrouter.Malformed},
+		{"no deadline", "comites-token", modified(func(j *shallotrouter.Job) { j.Deadline = 0 }), shallotrouter.Malformed},
+		{"no kind", "comites-token", modified(func(j *shallotrouter.Job) { j.Tasks = []shallotrouter.Task{{}} }), shallotrouter.Malformed},
+		{"forged ticket", "comites-token", modified(func(j *shallotrouter.Job) { j.Ticket = strings.Repeat("A", 80) }), shallotrouter.Malformed},
+		{"no ticket", "comites-token", modified(func(j *shallotrouter.Job) { j.Ticket = "" }), shallotrouter.Malformed},
+		{"too many tasks", "comites-token", modified(func(j *shallotrouter.Job) { j.Tasks = make([]shallotrouter.Task, 461) }), shallotrouter.Oversized},
+		{"too large", "comites-token", modified(func(j *shallotrouter.Job) {
 			j.Tasks = []shallotrouter.Task{{Kind: "k", Payload: make([]byte, 30000)}}
 		}), shallotrouter.Oversized},
 	}
