--- a/internal/server/forward.go
+++ b/internal/server/forward.go
@@ -17,42 +17,45 @@
 )
 
 const (
-	// headerForwarded names the client for whom a peer forwards a request.
+	// headerForwarded carries the name of the client for which a peer forwards a
+	// request.
 	headerForwarded = "Shallot-Forwarded"
-	// maxAnswer bounds a forwarded answer in bytes.
-	maxAnswer = 512 << 20
+	// maxAnswerBytes limits the body of the answer to a forwarded request.
+	maxAnswerBytes = 512 << 20
 )
 
-// Forwarder passes requests on to the home of their ticket. Its fields are set
-// before use. It is safe for concurrent use.
+// Forwarder forwards requests to the home of their ticket, which is the host that
+// issued the ticket. Its fields are set before use. It is safe for concurrent use.
 type Forwarder struct {
-	// Clock tells the time.
+	// Clock is the source of time.
 	Clock clockwork.Clock
-	// HTTP makes the requests. It must not follow redirects.
+	// HTTP is the client for the requests. It must not follow redirects.
 	HTTP *http.Client
 	// Scheme is http or https.
 	Scheme string
 	// Secret is the key that all entry hosts share.
 	Secret []byte
-	// Ask bounds requests that do not wait for a job, and is the period at which
-	// the home of a job that is waited for has to show that it lives.
+	// Ask is the timeout of requests that do not wait for a job. It is also the
+	// interval of the health probes of the home while a request waits there, and
+	// the timeout of each probe.
 	Ask time.Duration
 	// Seal returns the text of a ticket.
 	Seal func(ticketer.Ticket) (string, error)
 }
 
-// Forward sends a request to the ticket's home and returns its answer. When the
-// home cannot be reached the answer is Lost, since an earlier submission of the
-// same ticket may have run there.
+// Forward sends a request to the ticket's home and returns its answer. The job may
+// be nil for requests that do not submit one. If the home cannot be reached, the
+// answer has outcome Lost, since an earlier submission of the same ticket may have
+// run there.
 func (f *Forwarder) Forward(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) shallotrouter.Answer {
-	limit := f.Ask
+	timeout := f.Ask
 	if job != nil {
-		limit += time.Duration(job.Deadline) + answerGrace
+		timeout += time.Duration(job.Deadline) + answerGrace
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	go (&probe{forwarder: f, home: t.Home, giveUp: cancel}).run(ctx)
-	a, err := f.exchange(ctx, t, client, method, job)
+	go (&livenessProbe{forwarder: f, home: t.Home, abort: cancel}).run(ctx)
+	a, err := f.sendRequest(ctx, t, client, method, job)
 	if err != nil {
 		return shallotrouter.Answer{
 			Outcome: shallotrouter.Lost, Reason: shallotrouter.Unreachable, After: shallotrouter.Duration(time.Second),
@@ -62,7 +65,7 @@
 	return a
 }
 
-func (f *Forwarder) exchange(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) (shallotrouter.Answer, error) {
+func (f *Forwarder) sendRequest(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) (shallotrouter.Answer, error) {
 	var a shallotrouter.Answer
 	text, err := f.Seal(t)
 	if err != nil {
@@ -87,23 +90,24 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusUnauthorized {
-		return a, errKey
+		return a, errPeerKeyRejected
 	}
-	a, err = decode(io.LimitReader(response.Body, maxAnswer), method)
+	a, err = decodeAnswer(io.LimitReader(response.Body, maxAnswerBytes), method)
 	if err == nil && a.Outcome == "" {
-		err = errEmpty
+		err = errNoOutcome
 	}
 	return a, err
 }
 
-// errKey marks a home that does not accept this host's key.
-var errKey = errors.New("the home of the ticket refuses the peer key; set the same key on all hosts")
+// errPeerKeyRejected means that the home rejected this host's peer key.
+var errPeerKeyRejected = errors.New("the home of the ticket rejected the peer key; set the same key on all hosts")
 
-// errEmpty marks an answer without an outcome.
-var errEmpty = errors.New("the home of the ticket gave no outcome; run the same version on all hosts")
+// errNoOutcome means that the home sent an answer without an outcome.
+var errNoOutcome = errors.New("the answer from the home of the ticket has no outcome; run the same version on all hosts")
 
-// decode reads the answer out of a response to the method.
-func decode(body io.Reader, method string) (shallotrouter.Answer, error) {
+// decodeAnswer decodes the response to a request with the given method. The body
+// is a State for GET and an Answer for the other methods.
+func decodeAnswer(body io.Reader, method string) (shallotrouter.Answer, error) {
 	if method != http.MethodGet {
 		var a shallotrouter.Answer
 		err := json.NewDecoder(body).Decode(&a)
@@ -119,39 +123,41 @@
 	return shallotrouter.Answer{Outcome: shallotrouter.Lost, Reason: shallotrouter.Unready, Message: "the job is not final yet; ask its home again"}, nil
 }
 
-// probe watches the home of a forwarded submission. A host that froze, or a path
-// that lost the connection, would otherwise hold the answer until the job's
-// deadline (#4).
-type probe struct {
+// livenessProbe checks the health of the home while a forwarded request waits for its
+// answer. Without it, a paused process or a broken network path would delay the
+// answer until the job's deadline (#4).
+type livenessProbe struct {
 	forwarder *Forwarder
 	home      string
-	giveUp    context.CancelFunc
+	abort     context.CancelFunc
 }
 
-// maxMissed is the number of probes in a row without an answer that give up.
-const maxMissed = 2
+// maxFailedProbes is the number of failed probes in a row after which the forwarded
+// request is aborted.
+const maxFailedProbes = 2
 
-// run probes until the submission is answered.
-func (p *probe) run(ctx context.Context) {
+// run probes the home until the context is done, and aborts the forwarded request
+// after maxFailedProbes failures in a row.
+func (p *livenessProbe) run(ctx context.Context) {
 	ticker := p.forwarder.Clock.NewTicker(p.forwarder.Ask)
 	defer ticker.Stop()
-	for missed := 0; missed < maxMissed; {
+	for failures := 0; failures < maxFailedProbes; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
 		}
-		if p.lives(ctx) {
-			missed = 0
+		if p.isAlive(ctx) {
+			failures = 0
 		} else {
-			missed++
+			failures++
 		}
 	}
-	p.giveUp()
+	p.abort()
 }
 
-// lives asks the home for its health on a connection of its own.
-func (p *probe) lives(ctx context.Context) bool {
+// isAlive requests the health of the home on a separate connection.
+func (p *livenessProbe) isAlive(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.forwarder.Ask)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.forwarder.Scheme+"://"+p.home+"/healthz", nil)
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxKind bounds the kind of a task in bytes.
-	maxKind = 64
-	// maxDeadline bounds a job's deadline.
+	// maxKindBytes limits the length of a task's kind.
+	maxKindBytes = 64
+	// maxDeadline is the longest deadline that a job may have.
 	maxDeadline = time.Hour
-	// minDeadline is the least deadline that makes sense.
+	// minDeadline is the shortest deadline that a job may have.
 	minDeadline = time.Millisecond
 )
 
@@ -26,80 +26,82 @@
 	Count int `json:"count"`
 }
 
-// tickets gives a block of tickets.
-func (s *Server) tickets(w http.ResponseWriter, r *http.Request) {
-	client, refused := s.identify(r)
+// handleTickets issues a block of tickets.
+func (s *Server) handleTickets(w http.ResponseWriter, r *http.Request) {
+	client, refused := s.authenticate(r)
 	if refused != nil {
-		s.fail(w, refused)
+		s.writeRefusal(w, refused)
 		return
 	}
 	body := Count{Count: 1}
 	if r.ContentLength != 0 {
-		if err := read(r, &body); err != nil {
-			s.fail(w, err)
+		if err := decodeBody(r, &body); err != nil {
+			s.writeRefusal(w, err)
 			return
 		}
 	}
 	issued, err := s.Runner.Issue(r.Context(), client, body.Count)
 	if err != nil {
-		s.fail(w, err)
+		s.writeRefusal(w, err)
 		return
 	}
 	grant := shallotrouter.Grant{Expires: issued.Expires, Tickets: make([]string, issued.Count)}
 	for i := range grant.Tickets {
-		grant.Tickets[i] = s.text(client, issued.First+uint64(i))
+		grant.Tickets[i] = s.sealTicket(client, issued.First+uint64(i))
 	}
-	write(w, http.StatusOK, 0, grant)
+	writeJSON(w, http.StatusOK, 0, grant)
 }
 
-// text returns the sealed text of one of this process's tickets.
-func (s *Server) text(client string, number uint64) string {
+// sealTicket returns the sealed text of a ticket that this process issued. It returns
+// an empty text if sealing fails.
+func (s *Server) sealTicket(client string, number uint64) string {
 	text, err := s.Sealer.Seal(ticketer.Ticket{Home: s.Address, Incarnation: s.Incarnation, Number: number, Client: client})
 	if err != nil {
-		s.Log.Error(err, "ticket not sealed")
+		s.Log.Error(err, "failed to seal a ticket; the client gets an empty ticket")
 	}
 	return text
 }
 
-// submit runs a job and answers when it is final. A client that goes away may
-// submit the same ticket again and gets the same answer.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
-	client, refused := s.identify(r)
+// handleSubmit runs a job and answers when the job has its final result. A client that
+// disconnects may submit the same ticket again and gets the same answer.
+func (s *Server) handleSubmit(w http.ResponseWriter, r *http.Request) {
+	client, refused := s.authenticate(r)
 	if refused != nil {
-		s.doubt(w, refused)
+		s.writeEarlyError(w, refused)
 		return
 	}
 	var job shallotrouter.Job
-	if err := read(r, &job); err != nil {
-		s.fail(w, err)
+	if err := decodeBody(r, &job); err != nil {
+		s.writeRefusal(w, err)
 		return
 	}
-	if err := check(&job); err != nil {
-		s.fail(w, err)
+	if err := validateJob(&job); err != nil {
+		s.writeRefusal(w, err)
 		return
 	}
-	ticket, err := s.open(job.Ticket, client)
+	ticket, err := s.openTicket(job.Ticket, client)
 	if err != nil {
-		s.fail(w, err)
+		s.writeRefusal(w, err)
 		return
 	}
-	if !s.ours(ticket) {
-		a := s.away(r.Context(), ticket, client, http.MethodPost, &job)
-		write(w, status(a), time.Duration(a.After), a)
+	if !s.isLocal(ticket) {
+		a := s.answerForeignTicket(r.Context(), ticket, client, http.MethodPost, &job)
+		writeJSON(w, httpStatus(a), time.Duration(a.After), a)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(job.Deadline)+answerGrace)
 	defer cancel()
 	reply, failed := s.Runner.Submit(ctx, client, ticket.Number, job)
-	s.reply(w, client, ticket.Number, reply.Number, reply.Answer, failed)
+	s.writeReply(w, client, ticket.Number, reply.Number, reply.Answer, failed)
 }
 
-// answerGrace is how long past its deadline a job's answer may take.
+// answerGrace is how long after the job's deadline its answer is still awaited.
 const answerGrace = 5 * time.Second
 
-// open reads a ticket and checks that it is the client's. An empty text gives a
-// ticket with number 0, which this host starts itself.
-func (s *Server) open(text, client string) (ticketer.Ticket, *shallotrouter.Error) {
+// openTicket opens the sealed text of a ticket and checks that the ticket belongs to
+// the client. An empty text gives a ticket of this process with number 0; the
+// scheduler then assigns a number.
+func (s *Server) openTicket(text, client string) (ticketer.Ticket, *shallotrouter.Error) {
 	if text == "" {
 		return ticketer.Ticket{Home: s.Address, Incarnation: s.Incarnation, Client: client}, nil
 	}
@@ -115,13 +117,15 @@
 	return t, nil
 }
 
-// ours reports whether this process gave the ticket.
-func (s *Server) ours(t ticketer.Ticket) bool {
+// isLocal reports whether this process issued the ticket.
+func (s *Server) isLocal(t ticketer.Ticket) bool {
 	return t.Home == s.Address && t.Incarnation == s.Incarnation
 }
 
-// away answers for a ticket of another process, and never runs its job.
-func (s *Server) away(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) shallotrouter.Answer {
+// answerForeignTicket answers a request with a ticket that another process issued. It
+// never runs the job here. If an earlier incarnation of this host issued the ticket,
+// the answer has outcome Lost; otherwise the request is forwarded to the ticket's home.
+func (s *Server) answerForeignTicket(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) shallotrouter.Answer {
 	if t.Home == s.Address {
 		return shallotrouter.Answer{
 			Outcome: shallotrouter.Lost, Reason: shallotrouter.Restarted,
@@ -131,8 +135,8 @@
 	return s.Forwarder.Forward(ctx, t, client, method, job)
 }
 
-// check refuses a job that breaks the bounds of a submission.
-func check(job *shallotrouter.Job) *shallotrouter.Error {
+// validateJob returns an error if the job is incomplete or exceeds a limit.
+func validateJob(job *shallotrouter.Job) *shallotrouter.Error {
 	deadline := time.Duration(job.Deadline)
 	switch {
 	case job.Service == "":
@@ -147,8 +151,8 @@
 		return shallotrouter.Errorf(shallotrouter.Malformed, "a job that is not idempotent needs a ticket; take one from /v1/tickets first")
 	}
 	for i, t := range job.Tasks {
-		if t.Kind == "" || len(t.Kind) > maxKind || !printable(t.Kind) {
-			return shallotrouter.Errorf(shallotrouter.Malformed, "task %d has no good kind; set 1 to %d printable characters", i, maxKind)
+		if t.Kind == "" || len(t.Kind) > maxKindBytes || !isPrintable(t.Kind) {
+			return shallotrouter.Errorf(shallotrouter.Malformed, "task %d has no good kind; set 1 to %d printable characters", i, maxKindBytes)
 		}
 		if t.Expect < 0 {
 			return shallotrouter.Errorf(shallotrouter.Malformed, "task %d expects a negative time; set a time of zero or more", i)
@@ -157,8 +161,9 @@
 	return nil
 }
 
-// printable reports whether the text may stand in an HTTP header.
-func printable(text string) bool {
+// isPrintable reports whether the text has only visible ASCII characters, which are
+// allowed in an HTTP header.
+func isPrintable(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c > '~' {
 			return false
@@ -167,8 +172,10 @@
 	return true
 }
 
-// reply writes the answer to a submission or a cancellation.
-func (s *Server) reply(w http.ResponseWriter, client string, asked, number uint64, a shallotrouter.Answer, err error) {
+// writeReply writes the answer to a submission or a cancellation. An error means that
+// the scheduler gave no answer, so the job may have run. The ticket in the answer has
+// the given number, or the requested number if number is 0.
+func (s *Server) writeReply(w http.ResponseWriter, client string, requested, number uint64, a shallotrouter.Answer, err error) {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		a = shallotrouter.Answer{
@@ -182,65 +189,66 @@
 		}
 	}
 	if number == 0 {
-		number = asked
+		number = requested
 	}
 	if number > 0 {
-		a.Ticket = s.text(client, number)
+		a.Ticket = s.sealTicket(client, number)
 	}
-	write(w, status(a), time.Duration(a.After), a)
+	writeJSON(w, httpStatus(a), time.Duration(a.After), a)
 }
 
-// inspect tells the state of a job.
-func (s *Server) inspect(w http.ResponseWriter, r *http.Request) {
-	client, ticket, ok := s.named(w, r)
+// handleInspect returns the state of a job.
+func (s *Server) handleInspect(w http.ResponseWriter, r *http.Request) {
+	client, ticket, ok := s.requestTicket(w, r)
 	if !ok {
 		return
 	}
-	if !s.ours(ticket) {
-		a := s.away(r.Context(), ticket, client, http.MethodGet, nil)
-		write(w, status(a), 0, shallotrouter.State{Ticket: r.PathValue("ticket"), Answer: &a})
+	if !s.isLocal(ticket) {
+		a := s.answerForeignTicket(r.Context(), ticket, client, http.MethodGet, nil)
+		writeJSON(w, httpStatus(a), 0, shallotrouter.State{Ticket: r.PathValue("ticket"), Answer: &a})
 		return
 	}
 	state, err := s.Runner.Inspect(r.Context(), client, ticket.Number)
 	if err != nil {
-		s.reply(w, client, ticket.Number, 0, shallotrouter.Answer{}, err)
+		s.writeReply(w, client, ticket.Number, 0, shallotrouter.Answer{}, err)
 		return
 	}
 	state.Ticket = r.PathValue("ticket")
-	write(w, http.StatusOK, 0, state)
+	writeJSON(w, http.StatusOK, 0, state)
 }
 
-// cancel withdraws a job.
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
-	client, ticket, ok := s.named(w, r)
+// handleCancel cancels a job.
+func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
+	client, ticket, ok := s.requestTicket(w, r)
 	if !ok {
 		return
 	}
-	if !s.ours(ticket) {
-		a := s.away(r.Context(), ticket, client, http.MethodDelete, nil)
-		write(w, status(a), time.Duration(a.After), a)
+	if !s.isLocal(ticket) {
+		a := s.answerForeignTicket(r.Context(), ticket, client, http.MethodDelete, nil)
+		writeJSON(w, httpStatus(a), time.Duration(a.After), a)
 		return
 	}
 	reply, err := s.Runner.Cancel(r.Context(), client, ticket.Number)
-	s.reply(w, client, ticket.Number, reply.Number, reply.Answer, err)
+	s.writeReply(w, client, ticket.Number, reply.Number, reply.Answer, err)
 }
 
-// named returns the client and the ticket that the request's path names.
-func (s *Server) named(w http.ResponseWriter, r *http.Request) (string, ticketer.Ticket, bool) {
-	client, refused := s.identify(r)
+// requestTicket returns the client and the ticket that is named in the request's path.
+// If it returns false, it has written an error answer.
+func (s *Server) requestTicket(w http.ResponseWriter, r *http.Request) (string, ticketer.Ticket, bool) {
+	client, refused := s.authenticate(r)
 	if refused != nil {
-		s.doubt(w, refused)
+		s.writeEarlyError(w, refused)
 		return "", ticketer.Ticket{}, false
 	}
-	ticket, refused := s.open(r.PathValue("ticket"), client)
+	ticket, refused := s.openTicket(r.PathValue("ticket"), client)
 	if refused != nil {
-		s.doubt(w, refused)
+		s.writeEarlyError(w, refused)
 		return "", ticketer.Ticket{}, false
 	}
 	return client, ticket, true
 }
 
-// retryAfter returns a time in whole seconds, rounded up.
-func retryAfter(after time.Duration) string {
+// retryAfterSeconds returns a duration in whole seconds, rounded up.
+func retryAfterSeconds(after time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server is the HTTP side of a daemon: clients, operators, peers and
-// the balancer reach it here.
+// Package server implements the HTTP API of a daemon for clients, operators, peers and
+// the load balancer.
 package server
 
 import (
@@ -24,58 +24,60 @@
 	"github.com/shallotrouter/shallotrouter/internal/ticketer"
 )
 
-// Server answers HTTP requests. Its fields are set before Handler. It is safe
-// for concurrent use.
+// Server answers HTTP requests. Its fields are set before Handler is called. It is
+// safe for concurrent use.
 type Server struct {
 	Log    logr.Logger
 	Runner *runner.Runner
 	Meter  *meter.Meter
 	Sealer *ticketer.Sealer
-	// Peers takes the peers' connections.
+	// Peers handles the connections from peers.
 	Peers http.Handler
-	// Address and Incarnation are what this process puts into its tickets.
+	// Address and Incarnation identify this process in the tickets that it issues.
 	Address     string
 	Incarnation uint64
 	// Secret is the key that all entry hosts share.
 	Secret []byte
-	// Operator is the SHA-256 of the operators' token; empty refuses operators.
+	// Operator is the SHA-256 of the operators' token in hexadecimal. If it is empty,
+	// all operator requests are refused.
 	Operator string
-	// Body bounds a request's body in bytes, and Requests the open requests.
+	// Body is the maximum size of a request body in bytes. Requests is the maximum
+	// number of open client requests.
 	Body     int64
 	Requests int
-	// Forwarder passes submissions on to the home of their ticket.
+	// Forwarder forwards requests to the home of their ticket.
 	Forwarder *Forwarder
-	// Drain begins a graceful shutdown.
+	// Drain starts a graceful shutdown.
 	Drain func()
 
-	slots chan struct{}
+	openRequests chan struct{}
 }
 
-// Handler returns the daemon's HTTP handler.
+// Handler returns the HTTP handler of the daemon.
 func (s *Server) Handler() http.Handler {
-	s.slots = make(chan struct{}, s.Requests)
-	client := alice.New(s.recover, s.bound, s.limit)
-	operator := alice.New(s.recover, s.limit, s.operator)
+	s.openRequests = make(chan struct{}, s.Requests)
+	client := alice.New(s.recoverPanics, s.limitOpenRequests, s.limitBody)
+	operator := alice.New(s.recoverPanics, s.limitBody, s.requireOperator)
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/tickets", client.ThenFunc(s.tickets))
-	mux.Handle("POST /v1/jobs", client.ThenFunc(s.submit))
-	mux.Handle("GET /v1/jobs/{ticket}", client.ThenFunc(s.inspect))
-	mux.Handle("DELETE /v1/jobs/{ticket}", client.ThenFunc(s.cancel))
-	mux.Handle("GET /v1/status", operator.ThenFunc(s.status))
-	mux.Handle("POST /v1/drain", operator.ThenFunc(s.drain))
+	mux.Handle("POST /v1/tickets", client.ThenFunc(s.handleTickets))
+	mux.Handle("POST /v1/jobs", client.ThenFunc(s.handleSubmit))
+	mux.Handle("GET /v1/jobs/{ticket}", client.ThenFunc(s.handleInspect))
+	mux.Handle("DELETE /v1/jobs/{ticket}", client.ThenFunc(s.handleCancel))
+	mux.Handle("GET /v1/status", operator.ThenFunc(s.handleStatus))
+	mux.Handle("POST /v1/drain", operator.ThenFunc(s.handleDrain))
 	mux.Handle("GET "+reporter.Path, s.Peers)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.Meter.Registry, promhttp.HandlerOpts{}))
-	mux.HandleFunc("GET /healthz", s.healthz)
-	mux.HandleFunc("GET /readyz", s.readyz)
+	mux.HandleFunc("GET /healthz", s.handleHealthz)
+	mux.HandleFunc("GET /readyz", s.handleReadyz)
 	return mux
 }
 
-// recover turns a panic of a handler into status 500.
-func (s *Server) recover(next http.Handler) http.Handler {
+// recoverPanics answers with status 500 when a handler panics.
+func (s *Server) recoverPanics(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			if cause := recover(); cause != nil {
-				s.Log.Error(nil, "handler failed", "path", r.URL.Path, "cause", cause)
+				s.Log.Error(nil, "HTTP handler panicked; report it with this log line", "path", r.URL.Path, "cause", cause)
 				http.Error(w, "internal error; report it with the log", http.StatusInternalServerError)
 			}
 		}()
@@ -83,50 +85,50 @@
 	})
 }
 
-// bound refuses requests beyond the greatest number of open ones.
-func (s *Server) bound(next http.Handler) http.Handler {
+// limitOpenRequests rejects a request when the maximum number of requests is open.
+func (s *Server) limitOpenRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.slots <- struct{}{}:
-			defer func() { <-s.slots }()
+		case s.openRequests <- struct{}{}:
+			defer func() { <-s.openRequests }()
 			next.ServeHTTP(w, r)
 		default:
 			err := shallotrouter.Errorf(shallotrouter.Overload, "too many open requests; come back after the time given")
 			err.After = time.Second
-			s.doubt(w, err)
+			s.writeEarlyError(w, err)
 		}
 	})
 }
 
-// limit bounds the request's body.
-func (s *Server) limit(next http.Handler) http.Handler {
+// limitBody limits the size of the request's body.
+func (s *Server) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, s.Body)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// operator lets only operators through.
-func (s *Server) operator(next http.Handler) http.Handler {
+// requireOperator rejects requests without the operators' token.
+func (s *Server) requireOperator(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		hash := declarer.HashToken(bearer(r))
+		hash := declarer.HashToken(bearerToken(r))
 		if s.Operator == "" || subtle.ConstantTimeCompare([]byte(hash), []byte(s.Operator)) != 1 {
-			s.fail(w, shallotrouter.Errorf(shallotrouter.Unauthorized, "the operators' token is missing or wrong; send it as a bearer token"))
+			s.writeRefusal(w, shallotrouter.Errorf(shallotrouter.Unauthorized, "the operators' token is missing or wrong; send it as a bearer token"))
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// bearer returns the request's bearer token.
-func bearer(r *http.Request) string {
+// bearerToken returns the request's bearer token.
+func bearerToken(r *http.Request) string {
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return token
 }
 
-// identify returns the client of the request: the one whose token it shows, or
-// the one that a peer names when it forwards a submission.
-func (s *Server) identify(r *http.Request) (string, *shallotrouter.Error) {
+// authenticate returns the client of the request. The bearer token identifies the
+// client; in a request that a peer forwards, the header names it.
+func (s *Server) authenticate(r *http.Request) (string, *shallotrouter.Error) {
 	if name := r.Header.Get(headerForwarded); name != "" {
 		if !reporter.Allowed(s.Secret, r.Header.Get("Authorization")) {
 			return "", shallotrouter.Errorf(shallotrouter.Unauthorized, "only entry hosts may forward; send your own token")
@@ -139,21 +141,21 @@
 		err.After = time.Second
 		return "", err
 	}
-	hash := []byte(declarer.HashToken(bearer(r)))
-	found := ""
+	hash := []byte(declarer.HashToken(bearerToken(r)))
+	client := ""
 	for _, c := range config.Clients {
 		if subtle.ConstantTimeCompare(hash, []byte(c.Hash)) == 1 {
-			found = c.Name
+			client = c.Name
 		}
 	}
-	if found == "" {
+	if client == "" {
 		return "", shallotrouter.Errorf(shallotrouter.Unauthorized, "the token is missing or not declared; send a declared client's bearer token")
 	}
-	return found, nil
+	return client, nil
 }
 
-// read decodes the request's body.
-func read(r *http.Request, v any) *shallotrouter.Error {
+// decodeBody decodes the request's JSON body.
+func decodeBody(r *http.Request, v any) *shallotrouter.Error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(v)
@@ -170,8 +172,9 @@
 	return nil
 }
 
-// statuses maps reasons of refusals to HTTP status codes.
-var statuses = []struct {
+// refusalStatuses lists the HTTP status codes of refusals by reason. Other reasons
+// have status 503.
+var refusalStatuses = []struct {
 	reason shallotrouter.Reason
 	status int
 }{
@@ -184,8 +187,8 @@
 	{shallotrouter.Cancelled, http.StatusConflict},
 }
 
-// status returns the HTTP status of an answer.
-func status(a shallotrouter.Answer) int {
+// httpStatus returns the HTTP status code of an answer.
+func httpStatus(a shallotrouter.Answer) int {
 	switch a.Outcome {
 	case shallotrouter.Complete:
 		return http.StatusOK
@@ -195,7 +198,7 @@
 		return http.StatusGatewayTimeout
 	case shallotrouter.Refused:
 	}
-	for _, x := range statuses {
+	for _, x := range refusalStatuses {
 		if x.reason == a.Reason {
 			return x.status
 		}
@@ -203,8 +206,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// fail writes an error as a refused answer.
-func (s *Server) fail(w http.ResponseWriter, err error) {
+// writeRefusal writes an error as an answer with outcome Refused.
+func (s *Server) writeRefusal(w http.ResponseWriter, err error) {
 	var e *shallotrouter.Error
 	if !errors.As(err, &e) {
 		e = shallotrouter.Errorf(shallotrouter.Unready, "%v; go to another entry host", err)
@@ -212,44 +215,44 @@
 	a := shallotrouter.Answer{
 		Outcome: shallotrouter.Refused, Reason: e.Reason, Message: e.Message, After: shallotrouter.Duration(e.After),
 	}
-	wrapped := merry.Wrap(e, merry.WithHTTPCode(status(a)), merry.WithUserMessage(e.Message))
+	wrapped := merry.Wrap(e, merry.WithHTTPCode(httpStatus(a)), merry.WithUserMessage(e.Message))
 	s.Log.V(1).Info("request refused", "reason", e.Reason, "status", merry.HTTPCode(wrapped))
-	write(w, merry.HTTPCode(wrapped), time.Duration(a.After), a)
+	writeJSON(w, merry.HTTPCode(wrapped), time.Duration(a.After), a)
 }
 
-// doubt writes an error that came before the ticket was looked up. The job may
-// have run under an earlier submission of its ticket, so only an error that says
-// that the request itself is bad counts as a refusal.
-func (s *Server) doubt(w http.ResponseWriter, e *shallotrouter.Error) {
+// writeEarlyError writes an error that occurred before the ticket was looked up. An
+// earlier submission of the ticket may have run the job, so the outcome is Refused only
+// if the request itself is invalid, and Lost otherwise.
+func (s *Server) writeEarlyError(w http.ResponseWriter, e *shallotrouter.Error) {
 	switch e.Reason {
 	case shallotrouter.Overload, shallotrouter.Unready, shallotrouter.Draining:
 		a := shallotrouter.Answer{
 			Outcome: shallotrouter.Lost, Reason: e.Reason, After: shallotrouter.Duration(e.After),
 			Message: e.Message + "; come back with the same ticket",
 		}
-		write(w, status(a), e.After, a)
+		writeJSON(w, httpStatus(a), e.After, a)
 	default:
-		s.fail(w, e)
+		s.writeRefusal(w, e)
 	}
 }
 
-// write sends a value as JSON, with Retry-After in whole seconds where coming
-// back makes sense.
-func write(w http.ResponseWriter, code int, after time.Duration, v any) {
+// writeJSON sends a value as JSON. If after is positive, the Retry-After header holds it
+// in whole seconds.
+func writeJSON(w http.ResponseWriter, code int, after time.Duration, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if after > 0 {
-		w.Header().Set("Retry-After", retryAfter(after))
+		w.Header().Set("Retry-After", retryAfterSeconds(after))
 	}
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone away needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleHealthz(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
 
-// readyz tells the balancer whether to send new work here.
-func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
+// handleReadyz tells the load balancer whether this host accepts new jobs.
+func (s *Server) handleReadyz(w http.ResponseWriter, _ *http.Request) {
 	v := s.Runner.View()
 	if v.Phase != scheduler.Serving || v.Config.Hosts.Has(s.Runner.Scheduler.Host) {
 		http.Error(w, string(v.Phase), http.StatusServiceUnavailable)
@@ -258,10 +261,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) status(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	v, err := s.Runner.Survey(r.Context())
 	if err != nil {
-		s.fail(w, err)
+		s.writeRefusal(w, err)
 		return
 	}
 	age, known := s.Runner.Follower.Age()
@@ -269,10 +272,10 @@
 	if known {
 		v.Age = age
 	}
-	write(w, http.StatusOK, 0, v)
+	writeJSON(w, http.StatusOK, 0, v)
 }
 
-func (s *Server) drain(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleDrain(w http.ResponseWriter, _ *http.Request) {
 	s.Drain()
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -19,33 +19,34 @@
 	"github.com/shallotrouter/shallotrouter/internal/ticketer"
 )
 
-// home is a stand-in for the home of a ticket.
-func home(t *testing.T, handle http.HandlerFunc) (*Forwarder, ticketer.Ticket) {
-	web := httptest.NewServer(handle)
-	t.Cleanup(web.Close)
+// newHome starts a test server as the home of a ticket.
+func newHome(t *testing.T, handle http.HandlerFunc) (*Forwarder, ticketer.Ticket) {
+	server := httptest.NewServer(handle)
+	t.Cleanup(server.Close)
 	sealer := &ticketer.Sealer{Key: []byte("a key of the test")}
-	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: web.Client(), Scheme: "http", Secret: sealer.Key, Ask: time.Second, Seal: sealer.Seal}
-	return f, ticketer.Ticket{Home: strings.TrimPrefix(web.URL, "http://"), Number: 1, Client: "c"}
+	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: server.Client(), Scheme: "http", Secret: sealer.Key, Ask: time.Second, Seal: sealer.Seal}
+	return f, ticketer.Ticket{Home: strings.TrimPrefix(server.URL, "http://"), Number: 1, Client: "c"}
 }
 
-// TestForwardedAnswerLost requires that a home that took the submission and whose
-// answer was lost is asked once, and that the job counts as possibly run.
-func TestForwardedAnswerLost(t *testing.T) {
-	var taken atomic.Int32
-	f, ticket := home(t, func(http.ResponseWriter, *http.Request) {
-		taken.Add(1)
+// TestUnansweredForwardCountsAsLost checks that a submission whose answer is lost on the
+// way back is sent only once, and that the outcome is Lost. A second request could run
+// the job twice.
+func TestUnansweredForwardCountsAsLost(t *testing.T) {
+	var requests atomic.Int32
+	f, ticket := newHome(t, func(http.ResponseWriter, *http.Request) {
+		requests.Add(1)
 		panic(http.ErrAbortHandler)
 	})
 	a := f.Forward(t.Context(), ticket, "c", http.MethodPost, &shallotrouter.Job{})
 	assert.Equal(t, shallotrouter.Lost, a.Outcome)
 	assert.Equal(t, shallotrouter.Unreachable, a.Reason)
 	assert.Positive(t, a.After)
-	assert.Equal(t, int32(1), taken.Load())
+	assert.Equal(t, int32(1), requests.Load())
 }
 
-// TestForwardedAnswers requires that answers pass unchanged, and that whatever is
-// no answer counts as lost.
-func TestForwardedAnswers(t *testing.T) {
+// TestForwardedAnswerIsUnchanged checks that the outcome of a forwarded answer is passed
+// on, and that a response without a valid answer has outcome Lost.
+func TestForwardedAnswerIsUnchanged(t *testing.T) {
 	cases := []struct {
 		status  int
 		body    string
@@ -59,7 +60,7 @@
 		{http.StatusInternalServerError, `oops`, shallotrouter.Lost},
 	}
 	for _, c := range cases {
-		f, ticket := home(t, func(w http.ResponseWriter, r *http.Request) {
+		f, ticket := newHome(t, func(w http.ResponseWriter, r *http.Request) {
 			assert.Equal(t, "c", r.Header.Get(headerForwarded))
 			w.WriteHeader(c.status)
 			_, _ = w.Write([]byte(c.body))
@@ -69,12 +70,12 @@
 	}
 }
 
-// TestFullServerDoubts requires that a host with too many open requests does not
-// call a submission not run: an earlier one of its ticket may be running.
-func TestFullServerDoubts(t *testing.T) {
-	s := &Server{Log: logr.Discard(), slots: make(chan struct{})}
+// TestFullServerAnswersLost checks that a host with too many open requests does not
+// answer that a job has not run. An earlier submission of its ticket may be running.
+func TestFullServerAnswersLost(t *testing.T) {
+	s := &Server{Log: logr.Discard(), openRequests: make(chan struct{})}
 	w := httptest.NewRecorder()
-	s.bound(http.NotFoundHandler()).ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", nil))
+	s.limitOpenRequests(http.NotFoundHandler()).ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", nil))
 	var a shallotrouter.Answer
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &a))
 	assert.Equal(t, shallotrouter.Lost, a.Outcome)
@@ -83,11 +84,11 @@
 	assert.Equal(t, "1", w.Header().Get("Retry-After"))
 }
 
-// TestStatuses requires that the four outcomes have statuses of their own.
-func TestStatuses(t *testing.T) {
+// TestOutcomesHaveDistinctStatuses checks that each outcome has its own HTTP status.
+func TestOutcomesHaveDistinctStatuses(t *testing.T) {
 	seen := make(map[int]shallotrouter.Outcome)
 	for _, o := range []shallotrouter.Outcome{shallotrouter.Complete, shallotrouter.Failed, shallotrouter.Refused, shallotrouter.Lost} {
-		code := status(shallotrouter.Answer{Outcome: o})
+		code := httpStatus(shallotrouter.Answer{Outcome: o})
 		assert.NotContains(t, seen, code)
 		seen[code] = o
 	}
@@ -100,38 +101,39 @@
 	f.Fuzz(func(t *testing.T, body string) {
 		var job shallotrouter.Job
 		r := httptest.NewRequest(http.MethodPost, "/v1/jobs", strings.NewReader(body))
-		if read(r, &job) != nil || check(&job) != nil {
+		if decodeBody(r, &job) != nil || validateJob(&job) != nil {
 			return
 		}
 		if len(job.Tasks) == 0 || len(job.Tasks) > shallotrouter.MaxTasks || job.Deadline <= 0 {
-			t.Fatalf("a job out of bounds was taken: %+v", job)
+			t.Fatalf("accepted an invalid job: %+v", job)
 		}
 	})
 }
 
-// silentHome accepts connections and answers nothing, as a frozen host does.
-func silentHome(t *testing.T) string {
+// unresponsiveHome listens for connections and never answers, like a paused process.
+func unresponsiveHome(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	return listener.Addr().String()
 }
 
-// TestSilentHome requires that a forwarded submission is answered soon when its
-// home has gone silent, and not only after the job's deadline.
-func TestSilentHome(t *testing.T) {
+// TestUnresponsiveHomeIsAbandoned checks that a forwarded submission to an unresponsive
+// home is answered after the failed probes, and not only after the job's deadline.
+func TestUnresponsiveHomeIsAbandoned(t *testing.T) {
 	sealer := &ticketer.Sealer{Key: []byte("a key of the test")}
 	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: &http.Client{}, Scheme: "http", Secret: sealer.Key, Ask: 100 * time.Millisecond, Seal: sealer.Seal}
 	start := time.Now()
-	a := f.Forward(t.Context(), ticketer.Ticket{Home: silentHome(t), Number: 1}, "c", http.MethodPost,
+	a := f.Forward(t.Context(), ticketer.Ticket{Home: unresponsiveHome(t), Number: 1}, "c", http.MethodPost,
 		&shallotrouter.Job{Deadline: shallotrouter.Duration(time.Minute)})
 	assert.Equal(t, shallotrouter.Lost, a.Outcome)
 	assert.Less(t, time.Since(start), 10*time.Second)
 }
 
-// TestSlowJobIsAwaited requires that a home that lives is waited for.
-func TestSlowJobIsAwaited(t *testing.T) {
-	f, ticket := home(t, func(w http.ResponseWriter, r *http.Request) {
+// TestResponsiveHomeIsAwaited checks that a slow job is awaited while its home answers
+// the health probes.
+func TestResponsiveHomeIsAwaited(t *testing.T) {
+	f, ticket := newHome(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/healthz" {
 			return
 		}
