--- a/internal/dispatcher/conn.go
+++ b/internal/dispatcher/conn.go
@@ -11,70 +11,71 @@
 	"golang.org/x/sys/unix"
 )
 
-// errLate marks a write that came after the task's start-by time.
-var errLate = errors.New("the start-by time passed before the task was sent")
+// errStartByPassed is the error of a first write after the task's start-by time.
+var errStartByPassed = errors.New("the start-by time passed before the task was sent")
 
-// errSealed marks a write after the call was given up.
-var errSealed = errors.New("the call was given up")
+// errAborted is the error of a write after the call was aborted.
+var errAborted = errors.New("the call was given up")
 
-// conn is a connection that knows whether the current call has written to it.
+// conn is a connection that records whether the current call has written to it.
 type conn struct {
 	net.Conn
 
 	clock clockwork.Clock
 	mutex sync.Mutex
-	guard *guard
+	guard *writeGuard
 }
 
-// guard watches the writes of one call.
-type guard struct {
+// writeGuard controls and records the writes of one call.
+type writeGuard struct {
 	conn    *conn
-	by      time.Time
+	startBy time.Time
 	written bool
-	sealed  bool
+	aborted bool
 }
 
-// arm gives the connection to a call, which must begin to write by that time.
-func (c *conn) arm(by time.Time) *guard {
+// beginCall assigns the connection to a call, whose first write must begin by startBy.
+func (c *conn) beginCall(startBy time.Time) *writeGuard {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.guard = &guard{conn: c, by: by}
+	c.guard = &writeGuard{conn: c, startBy: startBy}
 	return c.guard
 }
 
-// seal stops the call from writing any further and reports whether it has
-// written anything. A write in progress is waited for.
-func (g *guard) seal() bool {
+// abort closes the connection, rejects further writes of the call and reports whether
+// the call has written anything. It waits for a write in progress.
+func (g *writeGuard) abort() bool {
 	g.conn.Close()
 	g.conn.mutex.Lock()
 	defer g.conn.mutex.Unlock()
-	g.sealed = true
+	g.aborted = true
 	return g.written
 }
 
-// Write sends bytes unless the call is sealed or late. A write that fails may
-// have sent some bytes, so it counts as written.
+// Write sends bytes. It returns errAborted if the call was aborted, and errStartByPassed
+// if the first write comes after the start-by time. Any other failed write may have
+// sent some bytes, so it counts as written.
 func (c *conn) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if g := c.guard; g != nil {
-		if g.sealed {
-			return 0, errSealed
+		if g.aborted {
+			return 0, errAborted
 		}
-		if !g.written && c.clock.Now().After(g.by) {
-			return 0, errLate
+		if !g.written && c.clock.Now().After(g.startBy) {
+			return 0, errStartByPassed
 		}
 		g.written = true
 	}
 	return c.Conn.Write(data)
 }
 
-// control bounds how long sent data may stay unacknowledged, so that a path
-// that went silent is found before the task's own time is over.
-func (d *Dispatcher) control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUnackedTimeout limits how long sent data may stay unacknowledged. A broken network
+// path is then detected before the task's own timeout.
+func (d *Dispatcher) setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Unacked.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Unacked.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optionErr)
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatcher sends tasks to targets over HTTP, each at most once, and
-// tells whether a task that was not answered can have started.
+// Package dispatcher sends tasks to targets over HTTP. It sends each task at most once
+// and reports whether a task without an answer may have started.
 package dispatcher
 
 import (
@@ -21,64 +21,67 @@
 )
 
 const (
-	// HeaderTask names the task in the request and in every answer to it.
+	// HeaderTask holds the task's identity in the request and in every answer to it.
 	HeaderTask = "Shallot-Task"
 	// HeaderStartBy is the Unix time in milliseconds after which the target
 	// must refuse the task.
 	HeaderStartBy = "Shallot-Start-By"
 	// HeaderKind is the kind of the task.
 	HeaderKind = "Shallot-Kind"
-	// HeaderNotStarted names a task that the target refused before starting.
+	// HeaderNotStarted holds the identity of a task that the target refused without
+	// starting it.
 	HeaderNotStarted = "Shallot-Not-Started"
-	// HeaderReason tells why: busy, late or leaving.
+	// HeaderReason is the reason of a refusal: busy, late or leaving.
 	HeaderReason = "Shallot-Reason"
-	// Path is where a target takes tasks.
+	// Path is the HTTP path at which a target accepts tasks.
 	Path = "/run"
 )
 
-// Sink receives the end of each start.
+// Sink receives the result of each start.
 type Sink interface {
-	// Put hands over one event. It may block for a moment.
+	// Put queues one event. It may block while the queue is full.
 	Put(scheduler.Event)
 }
 
-// Dispatcher sends tasks. Its exported fields are set before the first Send. It
-// is safe for concurrent use.
+// Dispatcher sends tasks to targets. Its exported fields are set before the first Send.
+// It is safe for concurrent use.
 type Dispatcher struct {
-	// Clock tells the time.
+	// Clock is the source of time.
 	Clock clockwork.Clock
-	// Sink receives exactly one Finish for each Send.
+	// Sink receives exactly one event with the result of each Send.
 	Sink Sink
-	// Identity is the part of a task's name that is unique to this process.
+	// Identity is the first part of every task's identity. It is unique to this
+	// process.
 	Identity string
-	// Dial bounds the making of a connection.
+	// Dial is the timeout of connecting to a target.
 	Dial time.Duration
-	// Unacked bounds how long sent data may stay unacknowledged.
+	// Unacked is how long sent data may stay unacknowledged before the connection is
+	// closed.
 	Unacked time.Duration
-	// MaxResult bounds a task's result in bytes.
+	// MaxResult is the maximum size of a task's result in bytes.
 	MaxResult int64
 
 	mutex sync.Mutex
-	lines map[string]*line
+	pools map[string]*targetPool
 }
 
-// line is the connection pool of one target.
-type line struct {
+// targetPool is the connection pool of one target.
+type targetPool struct {
 	address   string
 	transport *http.Transport
 }
 
-// Limits bounds the connections to the targets of a service.
+// Limits are the limits of the connections to the targets of a service.
 type Limits struct {
-	// Connections bounds the open connections to one target.
+	// Connections is the maximum number of open connections to one target.
 	Connections int
-	// Trust is how long an idle connection may still be used.
+	// Trust is how long an idle connection is kept open for reuse.
 	Trust time.Duration
 }
 
-// Send starts one task and returns at once.
+// Send sends one task in the background. The sink receives the result.
 func (d *Dispatcher) Send(e scheduler.Start, l Limits) {
-	c := &call{dispatcher: d, start: e, line: d.line(e, l)}
+	c := &call{dispatcher: d, start: e, pool: d.pool(e, l)}
 	go c.run()
 }
 
@@ -86,45 +89,46 @@
 func (d *Dispatcher) Retire(target string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if n := d.lines[target]; n != nil {
-		n.transport.CloseIdleConnections()
+	if p := d.pools[target]; p != nil {
+		p.transport.CloseIdleConnections()
 	}
 }
 
-// Keep closes and forgets the lines of all targets that are not named.
-func (d *Dispatcher) Keep(named func(target string) bool) {
+// Keep removes the connection pools of all targets for which isNamed returns false, and
+// closes their idle connections.
+func (d *Dispatcher) Keep(isNamed func(target string) bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for name, n := range d.lines {
-		if !named(name) {
-			n.transport.CloseIdleConnections()
-			delete(d.lines, name)
+	for name, p := range d.pools {
+		if !isNamed(name) {
+			p.transport.CloseIdleConnections()
+			delete(d.pools, name)
 		}
 	}
 }
 
-// line returns the target's connection pool. A pool is made anew when the
-// target's address or its limits have changed.
-func (d *Dispatcher) line(e scheduler.Start, l Limits) *line {
+// pool returns the target's connection pool. It replaces the pool when the target's
+// address or the limits have changed.
+func (d *Dispatcher) pool(e scheduler.Start, l Limits) *targetPool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	n := d.lines[e.Target]
-	if n != nil && n.address == e.Address && n.transport.MaxConnsPerHost == l.Connections && n.transport.IdleConnTimeout == l.Trust {
-		return n
+	p := d.pools[e.Target]
+	if p != nil && p.address == e.Address && p.transport.MaxConnsPerHost == l.Connections && p.transport.IdleConnTimeout == l.Trust {
+		return p
 	}
-	if n != nil {
-		n.transport.CloseIdleConnections()
+	if p != nil {
+		p.transport.CloseIdleConnections()
 	}
-	if d.lines == nil {
-		d.lines = make(map[string]*line)
+	if d.pools == nil {
+		d.pools = make(map[string]*targetPool)
 	}
-	n = &line{address: e.Address, transport: d.transport(l)}
-	d.lines[e.Target] = n
-	return n
+	p = &targetPool{address: e.Address, transport: d.newTransport(l)}
+	d.pools[e.Target] = p
+	return p
 }
 
-func (d *Dispatcher) transport(l Limits) *http.Transport {
-	dialer := &net.Dialer{Timeout: d.Dial, KeepAlive: l.Trust, Control: d.control}
+func (d *Dispatcher) newTransport(l Limits) *http.Transport {
+	dialer := &net.Dialer{Timeout: d.Dial, KeepAlive: l.Trust, Control: d.setUnackedTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, address)
@@ -137,36 +141,36 @@
 		MaxIdleConnsPerHost:    l.Connections,
 		IdleConnTimeout:        l.Trust,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		ResponseHeaderTimeout:  0,
 	}
 }
 
-// maxHeader bounds the header of a target's answer in bytes.
-const maxHeader = 16 << 10
+// maxHeaderBytes limits the header of a target's answer.
+const maxHeaderBytes = 16 << 10
 
-// call is one task on its way.
+// call is one attempt to send a task and to read its answer.
 type call struct {
 	dispatcher *Dispatcher
 	start      scheduler.Start
-	line       *line
-	guard      *guard
+	pool       *targetPool
+	guard      *writeGuard
 }
 
-// errMismatch marks an answer to another task.
-var errMismatch = errors.New("the answer names another task")
+// errWrongTask means that the answer names another task.
+var errWrongTask = errors.New("the answer names another task")
 
-// run sends the task and reports its end.
+// run sends the task and puts its result into the sink.
 func (c *call) run() {
 	d := c.dispatcher
-	sent := d.Clock.Now()
+	sentAt := d.Clock.Now()
 	finish := scheduler.Finish{Number: c.start.Number, Task: c.start.Task, Target: c.start.Target}
 	var err error
 	finish.Result, finish.Payload, err = c.exchange()
 	if err != nil {
 		finish.Message = err.Error()
 	}
-	finish.Elapsed = d.Clock.Since(sent)
+	finish.Elapsed = d.Clock.Since(sentAt)
 	d.Sink.Put(finish)
 }
 
@@ -174,68 +178,69 @@
 func (c *call) exchange() (scheduler.Result, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.start.Until.Sub(c.dispatcher.Clock.Now()))
 	defer cancel()
-	request, err := c.request(ctx)
+	request, err := c.newRequest(ctx)
 	if err != nil {
 		return scheduler.Unsent, nil, err
 	}
-	response, err := c.line.transport.RoundTrip(request)
+	response, err := c.pool.transport.RoundTrip(request)
 	if err != nil {
-		return c.unanswered(err), nil, err
+		return c.resultWithoutAnswer(err), nil, err
 	}
 	defer response.Body.Close()
-	return c.read(response)
+	return c.readAnswer(response)
 }
 
-// request builds the HTTP request. Its body cannot be read twice, so that
-// net/http never sends it again on its own (#4).
-func (c *call) request(ctx context.Context) (*http.Request, error) {
-	trace := &httptrace.ClientTrace{GotConn: c.gotConn}
+// newRequest creates the HTTP request. Its body cannot be read twice, so net/http
+// cannot resend the request, which could start the task twice (#4).
+func (c *call) newRequest(ctx context.Context) (*http.Request, error) {
+	trace := &httptrace.ClientTrace{GotConn: c.handleConn}
 	body := io.NopCloser(bytes.NewReader(c.start.Payload))
-	url := "http://" + c.line.address + Path
+	url := "http://" + c.pool.address + Path
 	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, url, body)
 	if err != nil {
 		return nil, err
 	}
 	r.ContentLength = int64(len(c.start.Payload))
-	r.Header.Set(HeaderTask, c.name())
+	r.Header.Set(HeaderTask, c.taskID())
 	r.Header.Set(HeaderStartBy, strconv.FormatInt(c.start.By.UnixMilli(), 10))
 	r.Header.Set(HeaderKind, c.start.Kind)
 	return r, nil
 }
 
-// name returns the task's identity, the same for every attempt to send it.
-func (c *call) name() string {
+// taskID returns the task's identity, which is the same for every attempt to send it.
+func (c *call) taskID() string {
 	return fmt.Sprintf("%s/%d/%d", c.dispatcher.Identity, c.start.Number, c.start.Task)
 }
 
-// gotConn arms the connection's guard for this call.
-func (c *call) gotConn(info httptrace.GotConnInfo) {
+// handleConn assigns the connection to this call.
+func (c *call) handleConn(info httptrace.GotConnInfo) {
 	if raw, ok := info.Conn.(*conn); ok {
-		c.guard = raw.arm(c.start.By)
+		c.guard = raw.beginCall(c.start.By)
 	}
 }
 
-// unanswered tells what a call without an answer proves.
-func (c *call) unanswered(err error) scheduler.Result {
+// resultWithoutAnswer returns the result of a call without an answer. The task has
+// certainly not started if the call has written nothing.
+func (c *call) resultWithoutAnswer(err error) scheduler.Result {
 	if c.guard == nil {
 		return scheduler.Unsent
 	}
-	if c.guard.seal() {
+	if c.guard.abort() {
 		return scheduler.Lost
 	}
-	if errors.Is(err, errLate) {
+	if errors.Is(err, errStartByPassed) {
 		return scheduler.Late
 	}
 	return scheduler.Unsent
 }
 
-// read takes the target's answer.
-func (c *call) read(response *http.Response) (scheduler.Result, []byte, error) {
-	if response.Header.Get(HeaderNotStarted) == c.name() {
-		return refusal(response.Header.Get(HeaderReason)), nil, nil
+// readAnswer returns the result and the payload from the target's answer.
+func (c *call) readAnswer(response *http.Response) (scheduler.Result, []byte, error) {
+	if response.Header.Get(HeaderNotStarted) == c.taskID() {
+		return refusalResult(response.Header.Get(HeaderReason)), nil, nil
 	}
-	if response.Header.Get(HeaderTask) != c.name() {
-		return scheduler.Lost, nil, errMismatch
+	if response.Header.Get(HeaderTask) != c.taskID() {
+		return scheduler.Lost, nil, errWrongTask
 	}
 	payload, err := io.ReadAll(io.LimitReader(response.Body, c.dispatcher.MaxResult+1))
 	if err != nil {
@@ -250,7 +255,7 @@
 	return scheduler.Done, payload, nil
 }
 
-func refusal(reason string) scheduler.Result {
+func refusalResult(reason string) scheduler.Result {
 	switch r := scheduler.Result(reason); r {
 	case scheduler.Late, scheduler.Leaving:
 		return r
