--- a/internal/reporter/budget.go
+++ b/internal/reporter/budget.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// byteRate bounds the bytes a second that a host sends to its peers, over
-	// all links. It leaves a part of the 6 KB/s of control traffic to polls.
-	byteRate = 4500
-	// byteBurst is what may be sent at once after a quiet time.
-	byteBurst = 10_000
+	// maxBytesPerSecond limits what a host sends to its peers, over all links. It leaves
+	// a part of the 6 KB/s limit of control traffic for polls of the platform.
+	maxBytesPerSecond = 4500
+	// maxBurstBytes is what a host may send at once after an idle period.
+	maxBurstBytes = 10_000
 )
 
-// budget bounds what a host sends to its peers. A message is sent whole, and the
-// next one waits until it is paid for. It is safe for concurrent use, and its zero
-// value is ready.
+// budget limits the rate at which a host sends to its peers. A message of any size is
+// sent at once, and the next message waits until the average rate is below the limit
+// again. It is safe for concurrent use, and its zero value is ready.
 type budget struct {
-	once  sync.Once
-	limit *rate.Limiter
-	mutex sync.Mutex
-	until time.Time // when what was sent is paid for
+	once         sync.Once
+	limiter      *rate.Limiter
+	mutex        sync.Mutex
+	blockedUntil time.Time // when the next message may be sent
 }
 
-func (b *budget) init() { b.limit = rate.NewLimiter(byteRate, byteBurst) }
+func (b *budget) createLimiter() { b.limiter = rate.NewLimiter(maxBytesPerSecond, maxBurstBytes) }
 
-// spend notes that bytes were sent.
-func (b *budget) spend(now time.Time, bytes int) {
-	b.once.Do(b.init)
+// recordSent charges the sent bytes to the budget.
+func (b *budget) recordSent(now time.Time, bytes int) {
+	b.once.Do(b.createLimiter)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for bytes > 0 {
-		part := min(bytes, byteBurst)
+		part := min(bytes, maxBurstBytes)
 		bytes -= part
-		if until := now.Add(b.limit.ReserveN(now, part).DelayFrom(now)); until.After(b.until) {
-			b.until = until
+		if blockedUntil := now.Add(b.limiter.ReserveN(now, part).DelayFrom(now)); blockedUntil.After(b.blockedUntil) {
+			b.blockedUntil = blockedUntil
 		}
 	}
 }
 
-// wait returns how long the next message has to wait.
-func (b *budget) wait(now time.Time) time.Duration {
+// delay returns how long the next message has to wait. It may be negative.
+func (b *budget) delay(now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.until.Sub(now)
+	return b.blockedUntil.Sub(now)
 }
--- a/internal/reporter/message.go
+++ b/internal/reporter/message.go
@@ -1,5 +1,5 @@
-// Package reporter exchanges reports between entry hosts over WebSocket with
-// CBOR. Each host dials its peers and sends on the connections that it dialled.
+// Package reporter exchanges reports between entry hosts as CBOR messages over
+// WebSocket. Each host dials its peers and sends on the connections that it has dialled.
 package reporter
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// maxMessage bounds one message in bytes.
-const maxMessage = 8 << 20
+// maxMessageBytes limits the size of one message.
+const maxMessageBytes = 8 << 20
 
-// Message is what one peer sends to another. Exactly one field is set.
+// Message is a message from one host to another. Exactly one field is set.
 type Message struct {
 	Hello     *Hello               `cbor:"1,keyasint,omitempty"`
 	Delta     *Delta               `cbor:"2,keyasint,omitempty"`
@@ -34,8 +34,8 @@
 	Incarnation uint64 `cbor:"4,keyasint"`
 }
 
-// Delta is what changed in a report since the last one on the connection. Names
-// are sent once on a connection; entries refer to them by their place.
+// Delta holds the changes of a report since the previous one on the connection. Each
+// name is sent once on a connection, and the entries refer to it by its index.
 type Delta struct {
 	Config    uint64   `cbor:"1,keyasint"`
 	Directory uint64   `cbor:"2,keyasint"`
@@ -45,7 +45,7 @@
 	Uses      []Use    `cbor:"6,keyasint,omitempty"`
 }
 
-// Demand is a scheduler.Demand with places of names.
+// Demand is a scheduler.Demand with indexes of names.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	Service int
@@ -54,7 +54,7 @@
 	Waiting int
 }
 
-// Use is a scheduler.Use with the place of the target's name.
+// Use is a scheduler.Use with the index of the target's name.
 type Use struct {
 	_      struct{} `cbor:",toarray"`
 	Target int
@@ -63,110 +63,113 @@
 	Doubt  int
 }
 
-// Row is a configuration as the platform stores it.
+// Row is a configuration in the form in which the platform stores it.
 type Row struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint"`
 }
 
-// Encode returns the message as it is sent.
+// Encode returns the message in CBOR.
 func (m Message) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// Decode reads a message and checks that it says one thing.
+// Decode decodes a message and checks that exactly one field is set. It returns an
+// Error with reason Oversized or Malformed.
 func Decode(data []byte) (Message, error) {
 	var m Message
-	if len(data) > maxMessage {
-		return m, shallotrouter.Errorf(shallotrouter.Oversized, "a peer's message has %d bytes; run the same version on all hosts", len(data))
+	if len(data) > maxMessageBytes {
+		return m, shallotrouter.Errorf(shallotrouter.Oversized, "peer message of %d bytes is too large; run the same version on all hosts", len(data))
 	}
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		return m, shallotrouter.Errorf(shallotrouter.Malformed, "a peer's message is not readable: %v; run the same version on all hosts", err)
+		return m, shallotrouter.Errorf(shallotrouter.Malformed, "failed to decode a peer message: %v; run the same version on all hosts", err)
 	}
-	set := 0
-	for _, is := range []bool{m.Hello != nil, m.Delta != nil, m.Row != nil, m.Directory != nil} {
-		if is {
-			set++
+	parts := 0
+	for _, isSet := range []bool{m.Hello != nil, m.Delta != nil, m.Row != nil, m.Directory != nil} {
+		if isSet {
+			parts++
 		}
 	}
-	if set != 1 {
-		return m, shallotrouter.Errorf(shallotrouter.Malformed, "a peer's message holds %d parts; run the same version on all hosts", set)
+	if parts != 1 {
+		return m, shallotrouter.Errorf(shallotrouter.Malformed, "peer message has %d parts instead of one; run the same version on all hosts", parts)
 	}
 	return m, nil
 }
 
-// key identifies an entry of a report.
-type key struct{ first, second string }
+// entryKey identifies an entry of a report: the service and client of a demand, or the
+// target of a use.
+type entryKey struct{ first, second string }
 
-func demandKey(d scheduler.Demand) key { return key{d.Service, d.Client} }
+func demandKey(d scheduler.Demand) entryKey { return entryKey{d.Service, d.Client} }
 
-func useKey(u scheduler.Use) key { return key{u.Target, ""} }
+func useKey(u scheduler.Use) entryKey { return entryKey{u.Target, ""} }
 
-func clearDemand(d scheduler.Demand) scheduler.Demand {
+func emptyDemand(d scheduler.Demand) scheduler.Demand {
 	return scheduler.Demand{Service: d.Service, Client: d.Client}
 }
 
-func clearUse(u scheduler.Use) scheduler.Use { return scheduler.Use{Target: u.Target} }
+func emptyUse(u scheduler.Use) scheduler.Use { return scheduler.Use{Target: u.Target} }
 
-// differ returns the entries of fresh that differ from old, and a cleared entry
-// for each that is gone.
-func differ[T comparable](old, fresh []T, keyOf func(T) key, reset func(T) T) []T {
-	known := make(map[key]T, len(old))
+// diffEntries returns the entries of current that differ from old, and an empty entry
+// for each entry of old that current lacks.
+func diffEntries[T comparable](old, current []T, keyOf func(T) entryKey, emptyOf func(T) T) []T {
+	previous := make(map[entryKey]T, len(old))
 	for _, x := range old {
-		known[keyOf(x)] = x
+		previous[keyOf(x)] = x
 	}
 	var changed []T
-	for _, x := range fresh {
+	for _, x := range current {
 		k := keyOf(x)
-		if before, ok := known[k]; !ok || before != x {
+		if before, ok := previous[k]; !ok || before != x {
 			changed = append(changed, x)
 		}
-		delete(known, k)
+		delete(previous, k)
 	}
 	for _, x := range old {
-		if _, gone := known[keyOf(x)]; gone {
-			changed = append(changed, reset(x))
+		if _, removed := previous[keyOf(x)]; removed {
+			changed = append(changed, emptyOf(x))
 		}
 	}
 	return changed
 }
 
-// merge puts changed entries over the old ones and drops the cleared ones. It
-// does not touch the old slice, which the scheduler may still hold.
-func merge[T any](old, changed []T, keyOf func(T) key, cleared func(T) bool) []T {
+// mergeEntries replaces old entries by changed ones, adds new entries and removes empty
+// ones. It does not modify the old slice, which the scheduler may still hold.
+func mergeEntries[T any](old, changed []T, keyOf func(T) entryKey, isEmpty func(T) bool) []T {
 	if len(changed) == 0 {
 		return old
 	}
-	fresh := make(map[key]T, len(changed))
+	pending := make(map[entryKey]T, len(changed))
 	for _, x := range changed {
-		fresh[keyOf(x)] = x
+		pending[keyOf(x)] = x
 	}
 	merged := make([]T, 0, len(old)+len(changed))
 	for _, x := range old {
 		k := keyOf(x)
-		if y, ok := fresh[k]; ok {
+		if y, ok := pending[k]; ok {
 			x = y
-			delete(fresh, k)
+			delete(pending, k)
 		}
-		if !cleared(x) {
+		if !isEmpty(x) {
 			merged = append(merged, x)
 		}
 	}
 	for _, x := range changed {
-		if _, left := fresh[keyOf(x)]; left && !cleared(x) {
+		if _, isNew := pending[keyOf(x)]; isNew && !isEmpty(x) {
 			merged = append(merged, x)
 		}
 	}
 	return slices.Clip(merged)
 }
 
-// Pass returns what a host shows its peers to prove that it has the key. The
-// key itself is never sent.
+// Pass returns the value of the Authorization header with which a host proves to its
+// peers that it has the key. It is an HMAC, so the key itself is never sent.
 func Pass(secret []byte) string {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte("shallotrouter peer"))
 	return "Bearer " + hex.EncodeToString(h.Sum(nil))
 }
 
-// Allowed compares a shown pass in constant time.
+// Allowed reports whether a received Authorization header proves that the sender has the
+// key. It compares in constant time.
 func Allowed(secret []byte, shown string) bool {
 	return subtle.ConstantTimeCompare([]byte(Pass(secret)), []byte(shown)) == 1
 }
--- a/internal/reporter/receiver.go
+++ b/internal/reporter/receiver.go
@@ -11,8 +11,8 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// ServeHTTP takes a peer's connection and hands on what it reports until it
-// ends. A host without the key gets status 401.
+// ServeHTTP accepts a connection from a peer and passes the received messages to the
+// sink until the connection ends. It answers a host without the key with status 401.
 func (r *Reporter) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if !Allowed(r.Secret, request.Header.Get("Authorization")) {
 		http.Error(w, "the peer key is wrong; set the same key on all hosts", http.StatusUnauthorized)
@@ -24,23 +24,23 @@
 		return
 	}
 	defer socket.CloseNow()
-	socket.SetReadLimit(maxMessage)
+	socket.SetReadLimit(maxMessageBytes)
 	v := &receiver{reporter: r, socket: socket}
 	err = v.receive(request.Context())
 	if v.unpacker.Report.Host != "" {
-		r.leave(v.unpacker.Report.Address)
+		r.handleDisconnected(v.unpacker.Report.Address)
 	}
-	r.Log.V(1).Info("peer connection ended", "peer", v.unpacker.Report.Host, "error", errorText(err))
+	r.Log.V(1).Info("connection from peer closed", "peer", v.unpacker.Report.Host, "error", errorText(err))
 }
 
-// receiver reads what one peer sends.
+// receiver reads the messages on a connection from one peer.
 type receiver struct {
 	reporter *Reporter
 	socket   *websocket.Conn
 	unpacker Unpacker
 }
 
-// receive reads messages until one cannot be read.
+// receive handles messages until the connection ends or a message is invalid.
 func (v *receiver) receive(ctx context.Context) error {
 	for {
 		_, data, err := v.socket.Read(ctx)
@@ -51,28 +51,28 @@
 		if err != nil {
 			return err
 		}
-		if err := v.take(m); err != nil {
+		if err := v.handleMessage(m); err != nil {
 			return err
 		}
 	}
 }
 
-// take hands on one message.
-func (v *receiver) take(m Message) error {
+// handleMessage passes the content of one message to the sink.
+func (v *receiver) handleMessage(m Message) error {
 	r := v.reporter
 	switch {
 	case m.Hello != nil && v.unpacker.Report.Host == "":
 		h := m.Hello
-		r.enter(h.Address)
+		r.handleConnected(h.Address)
 		v.unpacker.Report = scheduler.Report{Host: h.Host, Zone: h.Zone, Address: h.Address, Incarnation: h.Incarnation}
 	case m.Hello != nil || v.unpacker.Report.Host == "":
-		return shallotrouter.Errorf(shallotrouter.Malformed, "a peer did not say hello first and once; run the same version on all hosts")
+		return shallotrouter.Errorf(shallotrouter.Malformed, "peer did not send exactly one hello as its first message; run the same version on all hosts")
 	case m.Delta != nil:
 		if err := v.unpacker.Unpack(*m.Delta); err != nil {
 			return err
 		}
 		report := v.unpacker.Report
-		r.learn(report.Address, peerVersions{report.Config, report.Directory})
+		r.handleVersions(report.Address, peerVersions{report.Config, report.Directory})
 		r.Sink.Put(scheduler.Hear{Report: report})
 	case m.Row != nil:
 		config, err := declarer.Decode(m.Row.Version, m.Row.Value)
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -19,92 +19,94 @@
 )
 
 const (
-	// Path is where a host takes its peers' connections.
+	// Path is the HTTP path at which a host accepts connections from its peers.
 	Path = "/peer"
-	// headerZone tells the dialling host the zone of the host that it reached.
+	// headerZone holds the zone of the answering host.
 	headerZone = "Shallot-Zone"
-	// farPeriod is the period of reports to peers in other zones.
-	farPeriod = time.Second
-	// writeTimeout bounds one write to a peer.
+	// otherZoneReportInterval is the interval between reports to a peer in another zone.
+	otherZoneReportInterval = time.Second
+	// writeTimeout is the timeout of one write to a peer.
 	writeTimeout = time.Second
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout is the timeout of connecting to a peer.
 	dialTimeout = time.Second
-	// firstRedial and lastRedial bound the growing wait between dials.
-	firstRedial = 100 * time.Millisecond
-	lastRedial  = 3 * time.Second
-	// maxLinks bounds the links of one host.
+	// minRedialDelay and maxRedialDelay limit the delay between two dials. The delay
+	// doubles after each failure, and jitter of half of it either way is added.
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 3 * time.Second
+	// maxLinks is the maximum number of links of one host.
 	maxLinks = 256
 )
 
-// Sink receives what the peers report.
+// Sink receives the content of the messages from peers.
 type Sink interface {
-	// Put hands over one event. It may block for a moment.
+	// Put queues one event. It may block while the queue is full.
 	Put(scheduler.Event)
 }
 
-// Reporter holds the links to the peers. Its exported fields are set before
-// Run. It is safe for concurrent use.
+// Reporter manages the connections to and from the peers. Its exported fields are set
+// before Run is called. It is safe for concurrent use.
 type Reporter struct {
 	Clock clockwork.Clock
 	Log   logr.Logger
 	Sink  Sink
-	// Self tells who this host is.
+	// Self describes this host to its peers.
 	Self Hello
 	// Secret is the key that all entry hosts share.
 	Secret []byte
-	// TLS is the client's side of TLS; nil means plain connections.
+	// TLS is the client configuration of TLS; nil means plain connections.
 	TLS *tls.Config
-	// Seed spreads the dials; each link draws from a source of its own.
+	// Seed seeds the jitter of the redial delays. Each link has its own random source,
+	// which also depends on its address.
 	Seed uint64
-	// Observe is told of every message that is sent, with its size in bytes. It
-	// may be nil.
+	// Observe is called with the size in bytes of every sent message. It may be nil.
 	Observe func(bytes int)
 
-	mutex     sync.Mutex
-	context   context.Context
-	links     map[string]*link
-	report    scheduler.Report
-	config    *declarer.Config
-	directory scheduler.Directory
-	behind    map[string]*peerVersions
-	wanted    []string       // addresses that Dial set
-	inbound   map[string]int // connections from each peer address
-	budget    budget
+	mutex         sync.Mutex
+	runContext    context.Context
+	links         map[string]*link
+	report        scheduler.Report
+	config        *declarer.Config
+	directory     scheduler.Directory
+	versions      map[string]*peerVersions
+	peerAddresses []string       // addresses from the last Dial
+	inboundCounts map[string]int // open connections from each peer, by address
+	budget        budget
 }
 
-// peerVersions is what a peer last said that it holds.
+// peerVersions are the versions of the documents that a peer holds.
 type peerVersions struct{ config, directory uint64 }
 
-// Run keeps the links until the context is done. Links are made by Dial.
+// Run prepares the Reporter for Dial and for connections from peers, and returns. The
+// links end when the context is done.
 func (r *Reporter) Run(ctx context.Context) {
 	r.mutex.Lock()
-	r.context = ctx
+	r.runContext = ctx
 	r.links = make(map[string]*link)
-	r.behind = make(map[string]*peerVersions)
-	r.inbound = make(map[string]int)
+	r.versions = make(map[string]*peerVersions)
+	r.inboundCounts = make(map[string]int)
 	r.mutex.Unlock()
 }
 
-// Dial sets the addresses of the peers: links to others are closed, but for
-// peers that have a connection to this host, and missing ones are made.
+// Dial sets the addresses of the peers and opens the missing links. It closes links to
+// other addresses unless that host has a connection to this one.
 func (r *Reporter) Dial(addresses []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.wanted = addresses
+	r.peerAddresses = addresses
 	for address := range r.links {
-		r.prune(address)
+		r.closeUnneededLink(address)
 	}
 	for _, address := range addresses {
-		r.connect(address)
+		r.openLink(address)
 	}
 }
 
-// connect makes the link to an address unless there is one. The mutex is held.
-func (r *Reporter) connect(address string) {
-	if address == r.Self.Address || r.links[address] != nil || r.context == nil || len(r.links) >= maxLinks {
+// openLink opens the link to an address if it is missing. The mutex is held.
+func (r *Reporter) openLink(address string) {
+	if address == r.Self.Address || r.links[address] != nil || r.runContext == nil || len(r.links) >= maxLinks {
 		return
 	}
-	ctx, cancel := context.WithCancel(r.context)
+	ctx, cancel := context.WithCancel(r.runContext)
 	l := &link{
 		reporter: r, address: address, cancel: cancel, wake: make(chan struct{}, 1),
 		random: rand.New(rand.NewPCG(r.Seed, xxhash.Sum64String(address))),
@@ -113,76 +115,79 @@
 	go l.run(ctx)
 }
 
-// prune closes the link to an address that nobody wants. The mutex is held.
-func (r *Reporter) prune(address string) {
-	if l := r.links[address]; l != nil && r.inbound[address] == 0 && !slices.Contains(r.wanted, address) {
+// closeUnneededLink closes the link to an address that Dial has not set and that has no
+// connection to this host. The mutex is held.
+func (r *Reporter) closeUnneededLink(address string) {
+	if l := r.links[address]; l != nil && r.inboundCounts[address] == 0 && !slices.Contains(r.peerAddresses, address) {
 		l.cancel()
 		delete(r.links, address)
 	}
 }
 
-// enter notes a connection from a peer and dials it back, so that a fresh host
-// that only knows some of the others is known to them too.
-func (r *Reporter) enter(address string) {
+// handleConnected records a connection from a peer and opens a link back to it. A new
+// host that knows only some of the others thus receives reports from each host that it
+// dials.
+func (r *Reporter) handleConnected(address string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.inbound[address]++
-	r.connect(address)
+	r.inboundCounts[address]++
+	r.openLink(address)
 }
 
-// leave notes that a connection from a peer has ended.
-func (r *Reporter) leave(address string) {
+// handleDisconnected records the end of a connection from a peer.
+func (r *Reporter) handleDisconnected(address string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.inbound[address]--; r.inbound[address] <= 0 {
-		delete(r.inbound, address)
-		delete(r.behind, address)
-		r.prune(address)
+	if r.inboundCounts[address]--; r.inboundCounts[address] <= 0 {
+		delete(r.inboundCounts, address)
+		delete(r.versions, address)
+		r.closeUnneededLink(address)
 	}
 }
 
-// Publish hands the newest report to all links. A link that is busy skips the
-// reports in between.
+// Publish passes the newest report to all links. A busy link skips intermediate reports.
 func (r *Reporter) Publish(report scheduler.Report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report = report
 	for _, l := range r.links {
-		l.poke()
+		l.wakeUp()
 	}
 }
 
-// Hold sets the documents that are passed on to peers with older ones.
+// Hold sets the configuration and the directory that links send to peers with older
+// versions.
 func (r *Reporter) Hold(config *declarer.Config, directory scheduler.Directory) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.config, r.directory = config, directory
 }
 
-// current returns what a link may have to send.
-func (r *Reporter) current(address string) (scheduler.Report, *declarer.Config, scheduler.Directory, peerVersions) {
+// updatesFor returns the newest report and documents, and the versions of the documents
+// that the peer holds.
+func (r *Reporter) updatesFor(address string) (scheduler.Report, *declarer.Config, scheduler.Directory, peerVersions) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var known peerVersions
-	if v := r.behind[address]; v != nil {
-		known = *v
+	var held peerVersions
+	if v := r.versions[address]; v != nil {
+		held = *v
 	}
-	return r.report, r.config, r.directory, known
+	return r.report, r.config, r.directory, held
 }
 
-// learn notes which versions a peer holds and wakes the link to it when they
-// are older than this host's.
-func (r *Reporter) learn(address string, v peerVersions) {
+// handleVersions records which versions a peer holds. It wakes the link to the peer when
+// they are older than this host's versions.
+func (r *Reporter) handleVersions(address string, v peerVersions) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.behind[address] = &v
-	older := (r.config != nil && v.config < r.config.Version) || v.directory < r.directory.Version
-	if l := r.links[address]; l != nil && older {
-		l.poke()
+	r.versions[address] = &v
+	outdated := (r.config != nil && v.config < r.config.Version) || v.directory < r.directory.Version
+	if l := r.links[address]; l != nil && outdated {
+		l.wakeUp()
 	}
 }
 
-// link is the connection that this host dialled to one peer.
+// link dials one peer, redials it after failures and sends messages to it.
 type link struct {
 	reporter *Reporter
 	address  string
@@ -190,36 +195,36 @@
 	wake     chan struct{}
 	random   *rand.Rand
 
-	socket *websocket.Conn
-	near   bool
-	packer Packer
-	at     time.Time
-	config uint64 // version in the last report
-	gave   peerVersions
+	socket         *websocket.Conn
+	sameZone       bool
+	packer         Packer
+	lastReportAt   time.Time
+	reportedConfig uint64 // configuration version in the last report
+	sentVersions   peerVersions
 }
 
-func (l *link) poke() {
+func (l *link) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run dials and sends until the context is done.
+// run dials the peer and sends messages until the context is done.
 func (l *link) run(ctx context.Context) {
 	r := l.reporter
-	wait := firstRedial
+	delay := minRedialDelay
 	for ctx.Err() == nil {
 		if err := l.dial(ctx); err != nil {
-			r.Log.V(1).Info("peer not reached", "peer", l.address, "error", err.Error())
-			wait = min(2*wait, lastRedial)
+			r.Log.V(1).Info("failed to connect to peer; dialling again", "peer", l.address, "error", err.Error())
+			delay = min(2*delay, maxRedialDelay)
 		} else {
-			wait = firstRedial
+			delay = minRedialDelay
 			err := l.serve(ctx)
 			l.socket.CloseNow()
-			r.Log.V(1).Info("peer link ended", "peer", l.address, "error", errorText(err))
+			r.Log.V(1).Info("link to peer closed; dialling again", "peer", l.address, "error", errorText(err))
 		}
-		timer := r.Clock.NewTimer(wait/2 + time.Duration(l.random.Int64N(int64(wait))))
+		timer := r.Clock.NewTimer(delay/2 + time.Duration(l.random.Int64N(int64(delay))))
 		select {
 		case <-ctx.Done():
 		case <-timer.Chan():
@@ -235,7 +240,7 @@
 	return err.Error()
 }
 
-// dial connects and says hello.
+// dial connects to the peer and sends the hello message.
 func (l *link) dial(ctx context.Context) error {
 	r := l.reporter
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -251,17 +256,17 @@
 		return err
 	}
 	l.socket = socket
-	l.near = response.Header.Get(headerZone) == r.Self.Zone
-	l.packer, l.at, l.config, l.gave = Packer{}, time.Time{}, 0, peerVersions{}
+	l.sameZone = response.Header.Get(headerZone) == r.Self.Zone
+	l.packer, l.lastReportAt, l.reportedConfig, l.sentVersions = Packer{}, time.Time{}, 0, peerVersions{}
 	self := r.Self
 	return l.write(ctx, Message{Hello: &self})
 }
 
-// serve sends what is new each time the link is woken.
+// serve sends the updates each time the link is woken.
 func (l *link) serve(ctx context.Context) error {
 	ctx = l.socket.CloseRead(ctx)
 	for {
-		if err := l.send(ctx); err != nil {
+		if err := l.sendUpdates(ctx); err != nil {
 			return err
 		}
 		select {
@@ -269,20 +274,20 @@
 			return ctx.Err()
 		case <-l.wake:
 		}
-		if err := l.await(ctx); err != nil {
+		if err := l.waitForBudget(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// await waits until the budget allows the next message. The report that is sent
-// after that is the newest.
-func (l *link) await(ctx context.Context) error {
-	wait := l.reporter.budget.wait(l.reporter.Clock.Now())
-	if wait <= 0 {
+// waitForBudget waits until the budget allows the next message. The report is read after
+// the wait, so it is the newest.
+func (l *link) waitForBudget(ctx context.Context) error {
+	delay := l.reporter.budget.delay(l.reporter.Clock.Now())
+	if delay <= 0 {
 		return nil
 	}
-	timer := l.reporter.Clock.NewTimer(wait)
+	timer := l.reporter.Clock.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -292,17 +297,17 @@
 	}
 }
 
-// send writes the documents that the peer lacks, then the report's delta.
-func (l *link) send(ctx context.Context) error {
-	report, config, directory, known := l.reporter.current(l.address)
-	if config != nil && config.Version > max(known.config, l.gave.config) {
-		l.gave.config = config.Version
+// sendUpdates writes the documents that the peer lacks, then the report's delta.
+func (l *link) sendUpdates(ctx context.Context) error {
+	report, config, directory, held := l.reporter.updatesFor(l.address)
+	if config != nil && config.Version > max(held.config, l.sentVersions.config) {
+		l.sentVersions.config = config.Version
 		if err := l.write(ctx, Message{Row: &Row{Version: config.Version, Value: config.Raw}}); err != nil {
 			return err
 		}
 	}
-	if l.near && directory.Version > max(known.directory, l.gave.directory) {
-		l.gave.directory = directory.Version
+	if l.sameZone && directory.Version > max(held.directory, l.sentVersions.directory) {
+		l.sentVersions.directory = directory.Version
 		if err := l.write(ctx, Message{Directory: &directory}); err != nil {
 			return err
 		}
@@ -310,18 +315,19 @@
 	return l.sendReport(ctx, report)
 }
 
-// sendReport writes the report's delta. Peers in other zones get no demands and
-// uses, since they share no targets.
+// sendReport writes the report's delta. A peer in another zone gets no demands and uses,
+// since it shares no targets with this host, and a report at most once per
+// otherZoneReportInterval unless the configuration version has changed.
 func (l *link) sendReport(ctx context.Context, report scheduler.Report) error {
 	now := l.reporter.Clock.Now()
-	if report.Host == "" || (!l.near && now.Sub(l.at) < farPeriod && report.Config == l.config) {
+	if report.Host == "" || (!l.sameZone && now.Sub(l.lastReportAt) < otherZoneReportInterval && report.Config == l.reportedConfig) {
 		return nil
 	}
-	if !l.near {
+	if !l.sameZone {
 		report.Demands, report.Uses = nil, nil
 	}
 	delta := l.packer.Pack(report)
-	l.at, l.config = now, report.Config
+	l.lastReportAt, l.reportedConfig = now, report.Config
 	return l.write(ctx, Message{Delta: &delta})
 }
 
@@ -335,6 +341,6 @@
 	if l.reporter.Observe != nil {
 		l.reporter.Observe(len(data))
 	}
-	l.reporter.budget.spend(l.reporter.Clock.Now(), len(data))
+	l.reporter.budget.recordSent(l.reporter.Clock.Now(), len(data))
 	return l.socket.Write(ctx, websocket.MessageBinary, data)
 }
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -19,12 +19,12 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// sink keeps what a reporter hands on.
+// sink is a channel that receives the events of a reporter.
 type sink chan scheduler.Event
 
 func (s sink) Put(e scheduler.Event) { s <- e }
 
-// newHost returns a reporter that is served on loopback.
+// newHost starts a reporter on the loopback interface.
 func newHost(t *testing.T, name string) (*Reporter, sink) {
 	s := make(sink, 100)
 	r := &Reporter{
@@ -41,39 +41,39 @@
 	return r, s
 }
 
-// next returns the next event.
-func next(t *testing.T, s sink) scheduler.Event {
+// nextEvent waits for the next event and returns it.
+func nextEvent(t *testing.T, s sink) scheduler.Event {
 	select {
 	case e := <-s:
 		return e
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing was reported")
+		t.Fatal("no event was received")
 	}
 	return nil
 }
 
-func TestReports(t *testing.T) {
+func TestReportsReachPeer(t *testing.T) {
 	a, _ := newHost(t, "a")
-	b, got := newHost(t, "b")
+	b, events := newHost(t, "b")
 	report := scheduler.Report{Host: "a", Zone: "z", Config: 1, Demands: []scheduler.Demand{{Service: "s", Client: "c", Running: 2}}}
 	a.Publish(report)
 	a.Dial([]string{b.Self.Address})
-	heard := next(t, got).(scheduler.Hear).Report
-	assert.Equal(t, report.Demands, heard.Demands)
-	assert.Equal(t, uint64(1), heard.Incarnation)
+	received := nextEvent(t, events).(scheduler.Hear).Report
+	assert.Equal(t, report.Demands, received.Demands)
+	assert.Equal(t, uint64(1), received.Incarnation)
 	report.Demands = nil
 	report.Uses = []scheduler.Use{{Target: "t", Tasks: 1}}
 	a.Publish(report)
-	heard = next(t, got).(scheduler.Hear).Report
-	assert.Empty(t, heard.Demands)
-	assert.Equal(t, report.Uses, heard.Uses)
+	received = nextEvent(t, events).(scheduler.Hear).Report
+	assert.Empty(t, received.Demands)
+	assert.Equal(t, report.Uses, received.Uses)
 }
 
-// TestDocumentsArePassedOn requires that a host with a newer configuration gives
-// it to a peer that dialled it.
-func TestDocumentsArePassedOn(t *testing.T) {
+// TestNewerDocumentsReachPeer checks that a host sends its newer configuration and
+// directory to a peer that has dialled it.
+func TestNewerDocumentsReachPeer(t *testing.T) {
 	a, _ := newHost(t, "a")
-	b, got := newHost(t, "b")
+	b, events := newHost(t, "b")
 	raw, err := declarer.Row{Text: "[service s]\n", Preset: declarer.Peak}.Encode()
 	require.NoError(t, err)
 	config, err := declarer.Decode(7, raw)
@@ -84,7 +84,7 @@
 	b.Dial([]string{a.Self.Address})
 	seen := make(map[string]bool)
 	for !seen["config"] || !seen["directory"] {
-		switch e := next(t, got).(type) {
+		switch e := nextEvent(t, events).(type) {
 		case scheduler.Adopt:
 			seen["config"] = e.Config.Version == 7 && e.Config.Row.Preset == declarer.Peak
 		case scheduler.Locate:
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestWrongKey(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	a, _ := newHost(t, "a")
 	r, err := http.NewRequest(http.MethodGet, "http://"+a.Self.Address+Path, nil)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 	assert.Equal(t, http.StatusUnauthorized, response.StatusCode)
 }
 
-// drawReport draws a report.
+// drawReport draws a random report.
 func drawReport(t *rapid.T, name string) scheduler.Report {
 	var r scheduler.Report
 	for _, client := range []string{"a", "b", "c"} {
@@ -120,17 +120,17 @@
 	return r
 }
 
-// TestDeltas requires that a report and the delta to the next one give the next.
-func TestDeltas(t *testing.T) {
+// TestDeltaGivesNextReport checks that a delta applied to a report gives the next report.
+func TestDeltaGivesNextReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, fresh := drawReport(t, "old"), drawReport(t, "new")
+		old, current := drawReport(t, "old"), drawReport(t, "new")
 		var p Packer
 		var u Unpacker
-		for _, r := range []scheduler.Report{old, fresh} {
+		for _, r := range []scheduler.Report{old, current} {
 			require.NoError(t, u.Unpack(p.Pack(r)))
 		}
-		assert.ElementsMatch(t, fresh.Demands, u.Report.Demands)
-		assert.ElementsMatch(t, fresh.Uses, u.Report.Uses)
+		assert.ElementsMatch(t, current.Demands, u.Report.Demands)
+		assert.ElementsMatch(t, current.Uses, u.Report.Uses)
 	})
 }
 
@@ -158,7 +158,8 @@
 	})
 }
 
-// sizedReport makes a report of so many clients and targets, all in use.
+// sizedReport returns a report with the given numbers of clients and targets, all in use.
+// A different shift changes every second entry.
 func sizedReport(clients, targets, shift int) scheduler.Report {
 	r := scheduler.Report{Host: "bogota-norte-h1", Zone: "bogota-norte", Config: 900, Directory: 900}
 	for i := range clients {
@@ -170,26 +171,26 @@
 	return r
 }
 
-// BenchmarkDelta measures a whole report and one in which half of the entries
-// have changed.
+// BenchmarkDelta measures the size of a first report and of a report in which half of
+// the entries have changed.
 func BenchmarkDelta(b *testing.B) {
 	for _, size := range []struct{ clients, targets int }{{3, 17}, {10, 17}, {150, 86}} {
 		b.Run(fmt.Sprintf("clients=%d/targets=%d", size.clients, size.targets), func(b *testing.B) {
-			old, fresh := sizedReport(size.clients, size.targets, 0), sizedReport(size.clients, size.targets, 1)
+			old, current := sizedReport(size.clients, size.targets, 0), sizedReport(size.clients, size.targets, 1)
 			b.ReportAllocs()
 			var p Packer
-			b.ReportMetric(sizeOf(b, &p, fresh), "B/whole")
+			b.ReportMetric(sizeOf(b, &p, current), "B/whole")
 			half := 0.0
 			for b.Loop() {
 				p.Pack(old)
-				half = sizeOf(b, &p, fresh)
+				half = sizeOf(b, &p, current)
 			}
 			b.ReportMetric(half, "B/half")
 		})
 	}
 }
 
-// sizeOf returns the size of the next report on a connection.
+// sizeOf returns the size in bytes of the next report on a connection.
 func sizeOf(b *testing.B, p *Packer, r scheduler.Report) float64 {
 	d := p.Pack(r)
 	data, err := Message{Delta: &d}.Encode()
@@ -197,15 +198,16 @@
 	return float64(len(data))
 }
 
-// TestBudget requires that the bytes sent stay within the budget over time.
-func TestBudget(t *testing.T) {
+// TestSentBytesStayWithinBudget checks that the sent bytes exceed the rate limit by at
+// most the burst and one message.
+func TestSentBytesStayWithinBudget(t *testing.T) {
 	var b budget
 	now := time.Unix(1000, 0)
 	start, sent := now, 0
 	for range 1000 {
-		b.spend(now, 3000)
+		b.recordSent(now, 3000)
 		sent += 3000
-		now = now.Add(max(b.wait(now), time.Millisecond))
+		now = now.Add(max(b.delay(now), time.Millisecond))
 	}
-	assert.LessOrEqual(t, float64(sent), now.Sub(start).Seconds()*byteRate+byteBurst+3000)
+	assert.LessOrEqual(t, float64(sent), now.Sub(start).Seconds()*maxBytesPerSecond+maxBurstBytes+3000)
 }
