--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner runs one scheduler: it owns the goroutine that steps it, and
-// carries events in and effects out.
+// Package runner runs one scheduler in its own goroutine. It queues the events for the
+// scheduler and executes the scheduler's effects.
 package runner
 
 import (
@@ -23,11 +23,11 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// queueLength bounds the events that wait for the scheduler.
-const queueLength = 4096
+// maxQueuedEvents is the maximum number of events that wait for the scheduler.
+const maxQueuedEvents = 4096
 
-// Runner joins a scheduler with its transports. Its exported fields are set
-// before Run. Its methods are safe for concurrent use.
+// Runner connects a scheduler with its transports. Its exported fields are set before
+// Run is called. Its methods are safe for concurrent use.
 type Runner struct {
 	Scheduler  *scheduler.Scheduler
 	Clock      clockwork.Clock
@@ -37,15 +37,15 @@
 	Dispatcher *dispatcher.Dispatcher
 	Reporter   *reporter.Reporter
 	Follower   *follower.Follower
-	// Seeds are peers that are known from the start.
+	// Seeds are the addresses of peers that are known from the start.
 	Seeds []string
 
-	events  chan scheduler.Event
-	done    chan struct{}
-	request atomic.Uint64
-	mutex   sync.Mutex
-	waiters map[uint64]chan scheduler.Effect
-	view    atomic.Pointer[View]
+	events      chan scheduler.Event
+	done        chan struct{}
+	lastRequest atomic.Uint64
+	mutex       sync.Mutex
+	waiters     map[uint64]chan scheduler.Effect
+	view        atomic.Pointer[View]
 }
 
 // View is the part of the scheduler's state that other goroutines read.
@@ -53,25 +53,25 @@
 	Phase     scheduler.Phase
 	Config    *declarer.Config
 	Directory scheduler.Directory
-	Hosts     int // entry hosts of the zone that are present, this one included
+	Hosts     int // entry hosts of the zone that are present, including this one
 }
 
-// Init makes the Runner ready; it comes before Run, Put and the requests.
+// Init prepares the Runner. It is called before all other methods.
 func (r *Runner) Init() {
-	r.events = make(chan scheduler.Event, queueLength)
+	r.events = make(chan scheduler.Event, maxQueuedEvents)
 	r.done = make(chan struct{})
 	r.waiters = make(map[uint64]chan scheduler.Effect)
 	r.view.Store(&View{Phase: scheduler.Starting})
 }
 
-// Run steps the scheduler until it halts or the context is done.
+// Run passes events to the scheduler until it halts or the context is done.
 func (r *Runner) Run(ctx context.Context) {
 	defer close(r.done)
-	r.loop(ctx)
+	r.stepUntilHalt(ctx)
 }
 
-// Put hands over one event. It blocks while the queue is full, and drops the
-// event once the scheduler has halted.
+// Put queues one event. It blocks while the queue is full, and drops the event after Run
+// has returned.
 func (r *Runner) Put(e scheduler.Event) {
 	select {
 	case r.events <- e:
@@ -79,13 +79,13 @@
 	}
 }
 
-// Done is closed once the scheduler has halted.
+// Done returns a channel that is closed when Run returns.
 func (r *Runner) Done() <-chan struct{} { return r.done }
 
-// View returns the newest view. It must not be changed.
+// View returns the newest view. The caller must not modify it.
 func (r *Runner) View() *View { return r.view.Load() }
 
-func (r *Runner) loop(ctx context.Context) {
+func (r *Runner) stepUntilHalt(ctx context.Context) {
 	ticker := r.Clock.NewTicker(r.Scheduler.Bounds.Tick)
 	defer ticker.Stop()
 	for {
@@ -103,7 +103,8 @@
 	}
 }
 
-// step applies one event and reports whether the scheduler has halted.
+// step passes one event to the scheduler, executes the effects and reports whether the
+// scheduler has halted.
 func (r *Runner) step(e scheduler.Event) bool {
 	if f, ok := e.(scheduler.Finish); ok {
 		r.Meter.Finish(f.Result)
@@ -119,20 +120,21 @@
 			halted = true
 			continue
 		}
-		r.carry(now, effect)
+		r.execute(now, effect)
 	}
 	return halted
 }
 
-// refreshView publishes the view and tells the transports of new documents.
+// refreshView publishes the view if it has changed and passes new versions of the
+// configuration and the directory to the transports.
 func (r *Runner) refreshView(e scheduler.Event) {
 	v := r.Scheduler.View()
 	old := r.view.Load()
 	if v.Config == old.Config && v.Directory.Version == old.Directory.Version && v.Phase == old.Phase && v.Hosts == old.Hosts {
 		return
 	}
-	fresh := &View{Phase: v.Phase, Config: v.Config, Directory: v.Directory, Hosts: v.Hosts}
-	r.view.Store(fresh)
+	current := &View{Phase: v.Phase, Config: v.Config, Directory: v.Directory, Hosts: v.Hosts}
+	r.view.Store(current)
 	version := uint64(0)
 	if v.Config != nil {
 		version = v.Config.Version
@@ -141,13 +143,13 @@
 	r.Follower.Know(version, v.Directory.Version, v.Hosts)
 	r.Reporter.Hold(v.Config, v.Directory)
 	if _, located := e.(scheduler.Locate); located {
-		r.Reporter.Dial(r.peers(v.Directory))
-		r.Dispatcher.Keep(named(v.Directory))
+		r.Reporter.Dial(r.peerAddresses(v.Directory))
+		r.Dispatcher.Keep(listedIn(v.Directory))
 	}
 }
 
-// peers returns the addresses of all known peers.
-func (r *Runner) peers(d scheduler.Directory) []string {
+// peerAddresses returns the addresses of the seeds and of the directory's entry hosts.
+func (r *Runner) peerAddresses(d scheduler.Directory) []string {
 	addresses := append([]string(nil), r.Seeds...)
 	for _, h := range d.Hosts {
 		if h.Role == scheduler.Entry {
@@ -157,8 +159,8 @@
 	return addresses
 }
 
-// named tells which targets a directory names.
-func named(d scheduler.Directory) func(string) bool {
+// listedIn returns a function that reports whether the directory lists a target.
+func listedIn(d scheduler.Directory) func(string) bool {
 	names := make(map[string]struct{}, len(d.Hosts))
 	for _, h := range d.Hosts {
 		names[h.Name] = struct{}{}
@@ -169,35 +171,34 @@
 	}
 }
 
-// carry carries out one effect.
-func (r *Runner) carry(now time.Time, effect scheduler.Effect) {
+func (r *Runner) execute(now time.Time, effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Start:
-		r.Dispatcher.Send(e, r.limits(e.Service))
+		r.Dispatcher.Send(e, r.connectionLimits(e.Service))
 	case scheduler.Reply:
-		r.answer(e.Request, e)
+		r.deliverAnswer(e.Request, e)
 	case scheduler.Shown:
-		r.answer(e.Request, e)
+		r.deliverAnswer(e.Request, e)
 	case scheduler.Issued:
-		r.answer(e.Request, e)
+		r.deliverAnswer(e.Request, e)
 	case scheduler.Surveyed:
-		r.answer(e.Request, e)
+		r.deliverAnswer(e.Request, e)
 	case scheduler.Publish:
-		r.gauge(e)
+		r.updateGauges(e)
 		r.Reporter.Publish(e.Report)
 	case scheduler.Refresh:
 		r.Follower.Nudge()
 	case scheduler.Retire:
 		r.Dispatcher.Retire(e.Target)
 	case scheduler.Decide:
-		r.Throttle.Info(now, "decision", pairs(e)...)
+		r.Throttle.Info(now, "decision", logValues(e)...)
 	case scheduler.Violate:
 		r.Log.Error(nil, "invariant broken", "invariant", e.Invariant, "detail", e.Detail)
 	}
 }
 
-// pairs returns the keys and values of a decision's log line.
-func pairs(e scheduler.Decide) []any {
+// logValues returns the keys and values for the log line of a decision.
+func logValues(e scheduler.Decide) []any {
 	list := []any{"act", e.Action}
 	if e.Number > 0 {
 		list = append(list, "job", e.Number, "client", e.Client)
@@ -217,7 +218,7 @@
 	return list
 }
 
-func (r *Runner) gauge(e scheduler.Publish) {
+func (r *Runner) updateGauges(e scheduler.Publish) {
 	waiting := 0
 	for _, d := range e.Report.Demands {
 		waiting += d.Waiting
@@ -232,14 +233,14 @@
 	r.Meter.Age.Set(age.Seconds())
 }
 
-// limits returns the connection limits of a service.
-func (r *Runner) limits(name string) dispatcher.Limits {
+// connectionLimits returns the connection limits of a service.
+func (r *Runner) connectionLimits(name string) dispatcher.Limits {
 	service, _ := r.View().Config.Service(name)
 	return dispatcher.Limits{Connections: service.Connections, Trust: service.Trust}
 }
 
-// answer hands an effect to the request that waits for it, if it still does.
-func (r *Runner) answer(request uint64, e scheduler.Effect) {
+// deliverAnswer passes an effect to the request that waits for it, if there still is one.
+func (r *Runner) deliverAnswer(request uint64, e scheduler.Effect) {
 	r.mutex.Lock()
 	waiter := r.waiters[request]
 	delete(r.waiters, request)
@@ -249,15 +250,17 @@
 	}
 }
 
-// ask puts an event that carries a request number and waits for its answer.
-func (r *Runner) ask(ctx context.Context, event func(request uint64) scheduler.Event) (scheduler.Effect, error) {
-	request := r.request.Add(1)
+// requestAnswer queues an event with a new request number and waits for the effect that
+// answers it. It returns an error if the context is done first, and an Error with reason
+// Draining if the scheduler has halted without an answer.
+func (r *Runner) requestAnswer(ctx context.Context, newEvent func(request uint64) scheduler.Event) (scheduler.Effect, error) {
+	request := r.lastRequest.Add(1)
 	waiter := make(chan scheduler.Effect, 1)
 	r.mutex.Lock()
 	r.waiters[request] = waiter
 	r.mutex.Unlock()
-	defer r.leave(request)
-	r.Put(event(request))
+	defer r.removeWaiter(request)
+	r.Put(newEvent(request))
 	select {
 	case e := <-waiter:
 		return e, nil
@@ -273,25 +276,25 @@
 	}
 }
 
-func (r *Runner) leave(request uint64) {
+func (r *Runner) removeWaiter(request uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.waiters, request)
 }
 
-// Submit runs a job and waits for its answer or the context.
+// Submit submits a job and waits for its answer until the context is done.
 func (r *Runner) Submit(ctx context.Context, client string, number uint64, job shallotrouter.Job) (scheduler.Reply, error) {
-	return reply(r.ask(ctx, func(request uint64) scheduler.Event {
-		return scheduler.Submit{Request: request, Client: client, Number: number, Job: job, Digest: digest(job)}
+	return asReply(r.requestAnswer(ctx, func(request uint64) scheduler.Event {
+		return scheduler.Submit{Request: request, Client: client, Number: number, Job: job, Digest: jobDigest(job)}
 	}))
 }
 
-// digest returns a hash of what a job does. Deadlines may differ between two
-// submissions of the same job.
-func digest(job shallotrouter.Job) uint64 {
+// jobDigest returns a hash of the job's service and tasks. It leaves out the deadline,
+// which may differ between two submissions of the same job.
+func jobDigest(job shallotrouter.Job) uint64 {
 	h := xxhash.New()
 	add := func(data []byte) {
-		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(data)))) // never fails
+		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(data)))) // a Digest returns no write errors
 		_, _ = h.Write(data)
 	}
 	add([]byte(job.Service))
@@ -302,14 +305,14 @@
 	return h.Sum64()
 }
 
-// Cancel withdraws a job and waits for its answer.
+// Cancel cancels a job and waits for its answer.
 func (r *Runner) Cancel(ctx context.Context, client string, number uint64) (scheduler.Reply, error) {
-	return reply(r.ask(ctx, func(request uint64) scheduler.Event {
+	return asReply(r.requestAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.Cancel{Request: request, Client: client, Number: number}
 	}))
 }
 
-func reply(e scheduler.Effect, err error) (scheduler.Reply, error) {
+func asReply(e scheduler.Effect, err error) (scheduler.Reply, error) {
 	if err != nil {
 		return scheduler.Reply{}, err
 	}
@@ -318,7 +321,7 @@
 
 // Inspect returns the state of a job.
 func (r *Runner) Inspect(ctx context.Context, client string, number uint64) (shallotrouter.State, error) {
-	e, err := r.ask(ctx, func(request uint64) scheduler.Event {
+	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.Inspect{Request: request, Client: client, Number: number}
 	})
 	if err != nil {
@@ -327,9 +330,9 @@
 	return e.(scheduler.Shown).State, nil
 }
 
-// Issue takes a block of tickets.
+// Issue issues a block of tickets.
 func (r *Runner) Issue(ctx context.Context, client string, count int) (scheduler.Issued, error) {
-	e, err := r.ask(ctx, func(request uint64) scheduler.Event {
+	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.Issue{Request: request, Client: client, Count: count}
 	})
 	if err != nil {
@@ -342,9 +345,9 @@
 	return issued, nil
 }
 
-// Survey returns the host's state.
+// Survey returns the status of this host.
 func (r *Runner) Survey(ctx context.Context) (scheduler.Status, error) {
-	e, err := r.ask(ctx, func(request uint64) scheduler.Event { return scheduler.Survey{Request: request} })
+	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event { return scheduler.Survey{Request: request} })
 	if err != nil {
 		return scheduler.Status{}, err
 	}
