--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,5 +1,5 @@
-// Package follower keeps a daemon's configuration and directory up to date with
-// the platform.
+// Package follower polls the platform for new versions of a daemon's configuration and
+// directory.
 package follower
 
 import (
@@ -17,87 +17,88 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// Sink receives what was read.
+// Sink receives the new versions.
 type Sink interface {
-	// Put hands over one event. It may block for a moment.
+	// Put queues one event. It may block while the queue is full.
 	Put(scheduler.Event)
 }
 
-// Follower polls the platform. The more peers of its zone are present, the
-// more rarely it polls, since each passes on what it reads. Its exported fields
-// are set before Run.
+// Follower polls the platform. Its poll interval grows with the number of hosts that are
+// present in the zone, since each host passes new versions on to the others. Its
+// exported fields are set before Run is called.
 type Follower struct {
 	Clock  clockwork.Clock
 	Log    logr.Logger
 	Client *storer.Client
 	Zone   string
 	Sink   Sink
-	// Every is the period of polls of a host alone in its zone, and Slowest
-	// bounds the period with peers.
+	// Every is the poll interval of a host without peers in its zone. Slowest is the
+	// maximum poll interval.
 	Every   time.Duration
 	Slowest time.Duration
-	// Random spreads the polls.
+	// Random is the source of the jitter of the poll intervals.
 	Random *rand.Rand
-	// Observe is told of every poll and whether it failed. It may be nil.
+	// Observe is called after every poll. It may be nil.
 	Observe func(failed bool)
 
-	hosts     atomic.Int64
-	config    atomic.Uint64
-	directory atomic.Uint64
-	good      atomic.Int64
-	nudge     chan struct{}
+	hosts        atomic.Int64
+	config       atomic.Uint64
+	directory    atomic.Uint64
+	lastPolledAt atomic.Int64
+	pollNow      chan struct{}
 }
 
-// Init makes the Follower ready; it comes before Run and Nudge.
-func (f *Follower) Init() { f.nudge = make(chan struct{}, 1) }
+// Init prepares the Follower. It is called before Run and Nudge.
+func (f *Follower) Init() { f.pollNow = make(chan struct{}, 1) }
 
 // Run polls until the context is done.
-func (f *Follower) Run(ctx context.Context) { f.loop(ctx) }
+func (f *Follower) Run(ctx context.Context) { f.pollUntilDone(ctx) }
 
-// Nudge asks for a poll at once. It never blocks.
+// Nudge triggers a poll now. It does not block.
 func (f *Follower) Nudge() {
 	select {
-	case f.nudge <- struct{}{}:
+	case f.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Know tells which versions the daemon holds and how many hosts of the zone,
-// itself included, are present.
+// Know sets the versions of the configuration and the directory that the daemon holds,
+// and the number of hosts that are present in the zone, including this one.
 func (f *Follower) Know(config, directory uint64, hosts int) {
 	f.config.Store(config)
 	f.directory.Store(directory)
 	f.hosts.Store(int64(hosts))
 }
 
-// Age returns the time since the last successful poll, and false before it.
+// Age returns the time since the last successful poll. It returns false if there was none.
 func (f *Follower) Age() (time.Duration, bool) {
-	good := f.good.Load()
-	if good == 0 {
+	polledAt := f.lastPolledAt.Load()
+	if polledAt == 0 {
 		return 0, false
 	}
-	return f.Clock.Since(time.Unix(0, good)), true
+	return f.Clock.Since(time.Unix(0, polledAt)), true
 }
 
-func (f *Follower) loop(ctx context.Context) {
+func (f *Follower) pollUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		failed := f.poll(ctx)
 		if f.Observe != nil {
 			f.Observe(failed)
 		}
-		timer := f.Clock.NewTimer(f.period(failed))
+		timer := f.Clock.NewTimer(f.nextDelay(failed))
 		select {
 		case <-ctx.Done():
-		case <-f.nudge:
+		case <-f.pollNow:
 		case <-timer.Chan():
 		}
 		timer.Stop()
 	}
 }
 
-// period returns the time to the next poll, with jitter of an eighth either way.
-// After a failure it does not count on the peers, who may be cut off too (#4).
-func (f *Follower) period(failed bool) time.Duration {
+// nextDelay returns the delay until the next poll, with jitter of an eighth either way.
+// After a failure it ignores the number of peers, since the peers may have lost their
+// connection to the platform too (#4).
+func (f *Follower) nextDelay(failed bool) time.Duration {
 	period := min(f.Every*time.Duration(max(f.hosts.Load(), 1)), f.Slowest)
 	if failed {
 		period = min(f.Every, f.Slowest)
@@ -105,55 +106,57 @@
 	return period - period/8 + time.Duration(f.Random.Int64N(int64(period)/4+1))
 }
 
-// poll reads the row and the directory and reports whether either failed.
+// poll reads the configuration and the directory and reports whether either read failed.
 func (f *Follower) poll(ctx context.Context) bool {
-	failed := f.pollRow(ctx)
-	failed = f.pollHosts(ctx) || failed
+	failed := f.pollConfig(ctx)
+	failed = f.pollDirectory(ctx) || failed
 	if !failed {
-		f.good.Store(f.Clock.Now().UnixNano())
+		f.lastPolledAt.Store(f.Clock.Now().UnixNano())
 	}
 	return failed
 }
 
-func (f *Follower) pollRow(ctx context.Context) bool {
+func (f *Follower) pollConfig(ctx context.Context) bool {
 	record, err := f.Client.Read(ctx, storer.Row, f.config.Load())
 	if err != nil {
-		return f.failed(err, "row")
+		return f.handleError(err, "row")
 	}
 	if record.Version <= f.config.Load() {
 		return false
 	}
 	config, err := declarer.Decode(record.Version, record.Value)
 	if err != nil {
-		f.Log.Error(err, "configuration left out", "version", record.Version)
+		f.Log.Error(err, "ignored an invalid configuration; correct and apply the declarations", "version", record.Version)
 		return false
 	}
 	f.Sink.Put(scheduler.Adopt{Config: config})
 	return false
 }
 
-func (f *Follower) pollHosts(ctx context.Context) bool {
+func (f *Follower) pollDirectory(ctx context.Context) bool {
 	directory, err := f.Client.Hosts(ctx, f.Zone, f.directory.Load())
-	if unchanged(err) {
+	if isUnchanged(err) {
 		f.Sink.Put(scheduler.Confirm{Directory: f.directory.Load()})
 		return false
 	}
 	if err != nil {
-		return f.failed(err, "hosts")
+		return f.handleError(err, "hosts")
 	}
 	f.Sink.Put(scheduler.Locate{Directory: directory})
 	return false
 }
 
-func (f *Follower) failed(err error, what string) bool {
-	if unchanged(err) {
+// handleError logs the error and reports whether the poll failed. An unchanged version
+// is not a failure.
+func (f *Follower) handleError(err error, what string) bool {
+	if isUnchanged(err) {
 		return false
 	}
-	f.Log.V(1).Info("poll failed", "what", what, "error", err.Error())
+	f.Log.V(1).Info("failed to poll the platform; polling again", "what", what, "error", err.Error())
 	return true
 }
 
-func unchanged(err error) bool {
+func isUnchanged(err error) bool {
 	var e *storer.Error
 	return errors.As(err, &e) && e.Kind == storer.Unchanged
 }
