--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -1,4 +1,4 @@
-// Package storer is the client of the platform's transactional table and of its
+// Package storer implements the client of the platform's transactional table and of its
 // list of hosts.
 package storer
 
@@ -16,55 +16,56 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Record is a row of the table. Version 0 means that there is no row.
+// Record is a row of the table. Version 0 means that the row does not exist.
 type Record struct {
 	Version uint64
 	Value   []byte
 }
 
-// Kind tells how an exchange with the platform ended.
+// Kind is the kind of an Error.
 type Kind string
 
 const (
-	// Conflict means that the row has another version than expected.
+	// Conflict means that the row does not have the expected version.
 	Conflict Kind = "conflict"
-	// Unavailable means that there was no answer. A write may have taken effect.
+	// Unavailable means that there was no valid answer. A write may have taken effect.
 	Unavailable Kind = "unavailable"
-	// Unchanged means that the version is the one already known.
+	// Unchanged means that the version is still the known one.
 	Unchanged Kind = "unchanged"
 )
 
-// Error is a failed exchange with the platform.
+// Error is the error of a request that returned no row or list.
 type Error struct {
 	Kind    Kind
 	Message string
 }
 
-// Error returns the kind and the message.
+// Error returns the kind and the message as one text.
 func (e *Error) Error() string { return fmt.Sprintf("platform %s: %s", e.Kind, e.Message) }
 
-// Client reads and writes the platform. Its fields are set before use. It is
-// safe for concurrent use.
+// Client sends requests to the platform. Its fields are set before use. It is safe for
+// concurrent use.
 type Client struct {
-	// Address is the host and port of the platform's service.
+	// Address is the host and port of the platform.
 	Address string
-	// HTTP makes the requests; its Timeout bounds each.
+	// HTTP is the client for the requests. Its Timeout applies to each request.
 	HTTP *http.Client
 }
 
-// Row is the key of the row that holds the declarations and the preset.
+// Row is the key of the row that holds the declarations and the active preset.
 const Row = "shallotrouter"
 
-// maxValue bounds what is read from the platform, in bytes.
-const maxValue = 8 << 20
+// maxValueBytes limits how much of an answer from the platform is read.
+const maxValueBytes = 8 << 20
 
-// NewClient returns a client with the given bound on each request.
+// NewClient returns a client with the given timeout for each request.
 func NewClient(address string, timeout time.Duration) *Client {
 	return &Client{Address: address, HTTP: &http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 }
 
-// Read returns a row. It returns an Error of kind Unchanged when the row's
-// version is the known one, and a Record of version 0 when there is no row.
+// Read returns a row. It returns an Error of kind Unchanged if the row still has the known
+// version, and a Record of version 0 if the row does not exist. A known version of 0 means
+// that no version is known.
 func (c *Client) Read(ctx context.Context, key string, known uint64) (Record, error) {
 	header := http.Header{}
 	if known > 0 {
@@ -73,8 +74,9 @@
 	return c.exchange(ctx, http.MethodGet, "/table/"+url.PathEscape(key), nil, header)
 }
 
-// Swap writes a row if its version is still the expected one; 0 expects no row.
-// It returns the new version, or an Error of kind Conflict or Unavailable.
+// Swap writes a row if it still has the expected version. An expected version of 0 means
+// that the row must not exist. Swap returns the new version, or an Error of kind Conflict
+// or Unavailable.
 func (c *Client) Swap(ctx context.Context, key string, expected uint64, value []byte) (uint64, error) {
 	header := http.Header{}
 	header.Set("If-Match", strconv.FormatUint(expected, 10))
@@ -82,8 +84,8 @@
 	return record.Version, err
 }
 
-// Hosts returns the platform's list of the zone's hosts. It returns an Error of
-// kind Unchanged when the list's version is the known one.
+// Hosts returns the platform's list of the hosts in the zone. It returns an Error of kind
+// Unchanged if the list still has the known version.
 func (c *Client) Hosts(ctx context.Context, zone string, known uint64) (scheduler.Directory, error) {
 	var d scheduler.Directory
 	header := http.Header{}
@@ -95,7 +97,7 @@
 		return d, err
 	}
 	if err := json.Unmarshal(record.Value, &d); err != nil {
-		return d, &Error{Kind: Unavailable, Message: "the host list is not readable: " + err.Error()}
+		return d, &Error{Kind: Unavailable, Message: "failed to decode the host list: " + err.Error()}
 	}
 	return d, nil
 }
@@ -114,28 +116,29 @@
 		return record, &Error{Kind: Unavailable, Message: err.Error()}
 	}
 	defer response.Body.Close()
-	record.Value, err = io.ReadAll(io.LimitReader(response.Body, maxValue))
+	record.Value, err = io.ReadAll(io.LimitReader(response.Body, maxValueBytes))
 	if err != nil {
 		return record, &Error{Kind: Unavailable, Message: err.Error()}
 	}
-	return record, record.judge(response)
+	return record, record.readStatus(response)
 }
 
-// judge reads the version and turns the status into an error.
-func (r *Record) judge(response *http.Response) error {
+// readStatus sets the version from the response's header and returns an error according
+// to the status code.
+func (r *Record) readStatus(response *http.Response) error {
 	version, err := strconv.ParseUint(response.Header.Get("Version"), 10, 64)
 	r.Version = version
 	switch response.StatusCode {
 	case http.StatusOK:
 		if err != nil {
-			return &Error{Kind: Unavailable, Message: "the answer has no version"}
+			return &Error{Kind: Unavailable, Message: "the answer has no valid Version header"}
 		}
 		return nil
 	case http.StatusNotFound:
 		r.Value = nil
 		return nil
 	case http.StatusNotModified:
-		return &Error{Kind: Unchanged, Message: "the version is the known one"}
+		return &Error{Kind: Unchanged, Message: "the version has not changed"}
 	case http.StatusPreconditionFailed:
 		return &Error{Kind: Conflict, Message: fmt.Sprintf("the row has version %d", version)}
 	}
