--- a/internal/declarer/declarations.go
+++ b/internal/declarer/declarations.go
@@ -1,5 +1,5 @@
-// Package declarer reads and checks the declarations that operators keep under
-// version control, and the row of the platform's table that holds them.
+// Package declarer parses and validates the declarations that operators keep under
+// version control, and the row of the platform's table that stores them.
 package declarer
 
 import (
@@ -17,94 +17,98 @@
 type Name string
 
 const (
-	// Ordinary is the preset for ordinary days.
+	// Ordinary is the preset for ordinary load.
 	Ordinary Name = "ordinary"
-	// Peak is the preset for peaks.
+	// Peak is the preset for peak load.
 	Peak Name = "peak"
-	// Maintenance is the preset that finishes what runs and takes nothing new.
+	// Maintenance is the preset that finishes the accepted jobs and accepts no new ones.
 	Maintenance Name = "maintenance"
 )
 
-// Names lists all presets.
+// Names returns the names of all presets.
 func Names() []Name { return []Name{Ordinary, Peak, Maintenance} }
 
-// Order is how one client's own jobs are ordered.
+// Order is the order in which the jobs of one client are served.
 type Order string
 
 const (
-	// First serves a client's jobs in the order of their admission.
+	// First serves the jobs in the order of their admission.
 	First Order = "first"
-	// Least serves the job with the least work first, with ageing.
+	// Least serves the job with the least work first. Ageing raises the priority of
+	// jobs that wait.
 	Least Order = "least"
 )
 
-// Declarations is everything that operators declare. It is not changed after
-// Parse and may be shared.
+// Declarations are the services, clients, presets and drained hosts that operators
+// declare. They are not modified after Decode and may be shared.
 type Declarations struct {
 	Services []Service
 	Clients  []Client
 	Presets  []Preset
-	// Targets and Hosts are the names that are to be drained.
+	// Targets and Hosts are the names of the targets and hosts to drain.
 	Targets holder.Set[string]
 	Hosts   holder.Set[string]
 }
 
-// Service is a group of targets that run the same kinds of task.
+// Service is a group of targets that run the same kinds of tasks.
 type Service struct {
 	Name string
-	// Slots and Connections bound what all entry hosts together, and one entry
-	// host alone, use of one target.
+	// Slots is the maximum number of tasks that all entry hosts together run at one
+	// target. Connections is the maximum number of connections of one entry host to one
+	// target.
 	Slots       int
 	Connections int
-	// Trust is how long an idle connection to a target may still be used.
+	// Trust is how long an idle connection to a target is kept open for reuse.
 	Trust time.Duration
-	// Longest bounds the run time of one task.
+	// Longest is the maximum run time of one task.
 	Longest time.Duration
-	// Order is the order of jobs within one client.
+	// Order is the order of the jobs of one client.
 	Order Order
 }
 
-// Client is a customer that submits jobs.
+// Client is an organisation that submits jobs.
 type Client struct {
 	Name string
 	// Hash is the SHA-256 of the bearer token in hexadecimal.
 	Hash string
-	// Weight is the client's share relative to other clients.
+	// Weight is the client's weight relative to other clients.
 	Weight float64
-	// Services are the services that the client may use; empty means all.
+	// Services are the services that the client may use. An empty set allows all.
 	Services holder.Set[string]
 }
 
-// Preset is a set of policies that operators switch together.
+// Preset is a set of policies that operators activate together.
 type Preset struct {
 	Name Name
-	// Admit tells whether new jobs are taken.
+	// Admit is true if new jobs are accepted.
 	Admit bool
-	// Queue bounds the waiting tasks of one client at one entry host.
+	// Queue is the maximum number of waiting tasks of one client at one entry host.
 	Queue int
-	// Reserve is the part of the zone's slots that each host without waiting
-	// work keeps for jobs to come, from 0 to 0.2.
+	// Reserve is the fraction of the zone's slots that each host without waiting tasks
+	// reserves for new jobs, from 0 to 0.2.
 	Reserve float64
-	// Hold is the part of the zone's slots that one client's long tasks may
-	// hold, from 0 to 1.
+	// Hold is the maximum fraction of the zone's slots that one client's long tasks may
+	// occupy, from 0.01 to 1.
 	Hold float64
-	// Long is the expected run time from which a task counts as long.
+	// Long is the expected run time from which a task counts as a long task.
 	Long time.Duration
-	// Return is the time to come back that maintenance tells.
+	// Return is the delay after which a client may retry a job that was refused because
+	// Admit is false.
 	Return time.Duration
 }
 
-// Preset returns the preset of that name. Parse has made sure that it exists.
+// Preset returns the preset with the given name. If Parse has not returned the
+// declarations, they lack the preset and its built-in values are returned.
 func (d *Declarations) Preset(name Name) Preset {
 	for _, p := range d.Presets {
 		if p.Name == name {
 			return p
 		}
 	}
-	return standard(name)
+	return defaultPreset(name)
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name. It returns false if there is none.
 func (d *Declarations) Service(name string) (Service, bool) {
 	i := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == name })
 	if i < 0 {
@@ -113,14 +117,14 @@
 	return d.Services[i], true
 }
 
-// HashToken returns the form of a bearer token that stands in declarations.
+// HashToken returns the SHA-256 of a bearer token in hexadecimal, as in the declarations.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// standard returns the built-in values of a preset.
-func standard(name Name) Preset {
+// defaultPreset returns the built-in values of a preset.
+func defaultPreset(name Name) Preset {
 	p := Preset{
 		Name: name, Admit: true, Queue: 4000, Reserve: 0.01, Hold: 0.75,
 		Long: 2 * time.Second, Return: 30 * time.Second,
@@ -135,8 +139,8 @@
 	return p
 }
 
-// Parse reads declarations from INI text. Its error is parser.Faults with every
-// fault of the text.
+// Parse parses declarations from INI text. Its error is a parser.Faults with all faults of
+// the text. The file name appears in the faults.
 func Parse(file, text string) (*Declarations, error) {
 	doc := parser.Parse(file, text)
 	d := &Declarations{}
@@ -149,7 +153,7 @@
 	for _, name := range doc.Names("client") {
 		d.Clients = append(d.Clients, parseClient(doc, d, name))
 	}
-	checkTokens(doc, d.Clients)
+	requireDistinctTokens(doc, d.Clients)
 	for _, name := range Names() {
 		d.Presets = append(d.Presets, parsePreset(doc, name))
 	}
@@ -164,47 +168,47 @@
 }
 
 func parseService(doc *parser.Document, name string) Service {
-	s := doc.Section("service " + name)
-	defer s.Close()
-	v := Service{
+	section := doc.Section("service " + name)
+	defer section.Close()
+	service := Service{
 		Name:        name,
-		Slots:       s.Int("slots", 8, 1, 1024),
-		Connections: s.Int("connections", 60, 1, 4096),
-		Trust:       s.Duration("trust", 5*time.Second, 100*time.Millisecond, time.Hour),
-		Longest:     s.Duration("longest", 30*time.Second, 100*time.Millisecond, time.Hour),
-		Order:       Order(s.Text("order", string(Least))),
+		Slots:       section.Int("slots", 8, 1, 1024),
+		Connections: section.Int("connections", 60, 1, 4096),
+		Trust:       section.Duration("trust", 5*time.Second, 100*time.Millisecond, time.Hour),
+		Longest:     section.Duration("longest", 30*time.Second, 100*time.Millisecond, time.Hour),
+		Order:       Order(section.Text("order", string(Least))),
 	}
-	if v.Order != First && v.Order != Least {
+	if service.Order != First && service.Order != Least {
 		doc.Fault("service "+name, "order", "unknown order", "write first or least")
 	}
-	if v.Connections < v.Slots {
+	if service.Connections < service.Slots {
 		doc.Fault("service "+name, "connections", "fewer than slots", "allow at least one connection a slot")
 	}
-	return v
+	return service
 }
 
 func parseClient(doc *parser.Document, d *Declarations, name string) Client {
 	section := "client " + name
 	s := doc.Section(section)
 	defer s.Close()
-	v := Client{
+	client := Client{
 		Name:     name,
 		Hash:     strings.TrimPrefix(s.Need("token", "write sha256: and the SHA-256 of the token in hexadecimal"), "sha256:"),
 		Weight:   s.Float("weight", 1, 0.001, 1e6),
 		Services: holder.NewSet(s.List("services")...),
 	}
-	if raw, err := hex.DecodeString(v.Hash); v.Hash != "" && (err != nil || len(raw) != sha256.Size) {
+	if raw, err := hex.DecodeString(client.Hash); client.Hash != "" && (err != nil || len(raw) != sha256.Size) {
 		doc.Fault(section, "token", "not a SHA-256", "write sha256: and 64 hexadecimal digits, never the token itself")
 	}
-	for _, name := range v.Services.Sorted() {
+	for _, name := range client.Services.Sorted() {
 		if _, ok := d.Service(name); !ok {
 			doc.Fault(section, "services", "service "+name+" is not declared", "declare it, or correct its name")
 		}
 	}
-	return v
+	return client
 }
 
-func checkTokens(doc *parser.Document, clients []Client) {
+func requireDistinctTokens(doc *parser.Document, clients []Client) {
 	seen := make(map[string]string, len(clients))
 	for _, c := range clients {
 		if other, ok := seen[c.Hash]; ok && c.Hash != "" {
@@ -215,14 +219,14 @@
 }
 
 func parsePreset(doc *parser.Document, name Name) Preset {
-	s := doc.Section("preset " + string(name))
-	defer s.Close()
-	v := standard(name)
-	v.Admit = s.Bool("admit", v.Admit)
-	v.Queue = s.Int("queue", v.Queue, 1, 1_000_000)
-	v.Reserve = s.Float("reserve", v.Reserve, 0, 0.2)
-	v.Hold = s.Float("hold", v.Hold, 0.01, 1)
-	v.Long = s.Duration("long", v.Long, time.Millisecond, time.Hour)
-	v.Return = s.Duration("return", v.Return, time.Millisecond, 24*time.Hour)
-	return v
+	section := doc.Section("preset " + string(name))
+	defer section.Close()
+	preset := defaultPreset(name)
+	preset.Admit = section.Bool("admit", preset.Admit)
+	preset.Queue = section.Int("queue", preset.Queue, 1, 1_000_000)
+	preset.Reserve = section.Float("reserve", preset.Reserve, 0, 0.2)
+	preset.Hold = section.Float("hold", preset.Hold, 0.01, 1)
+	preset.Long = section.Duration("long", preset.Long, time.Millisecond, time.Hour)
+	preset.Return = section.Duration("return", preset.Return, time.Millisecond, 24*time.Hour)
+	return preset
 }
--- a/internal/declarer/declarer_test.go
+++ b/internal/declarer/declarer_test.go
@@ -11,9 +11,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/parser"
 )
 
-// TestEveryFault requires that all faults of a file are told at once, each with
-// its line.
-func TestEveryFault(t *testing.T) {
+// TestAllFaultsAreReported checks that Parse reports all faults of a file at once, each
+// with its line.
+func TestAllFaultsAreReported(t *testing.T) {
 	_, err := Parse("f.ini", `[service s]
 slots = 0
 order = random
@@ -34,22 +34,23 @@
 `)
 	var faults parser.Faults
 	require.ErrorAs(t, err, &faults)
-	places := make(map[string]int)
+	lines := make(map[string]int)
 	for _, f := range faults {
-		places[f.Section+" "+f.Key] = f.Line
+		lines[f.Section+" "+f.Key] = f.Line
 		assert.NotEmpty(t, f.Remedy, f.String())
 	}
 	assert.Equal(t, map[string]int{
 		"service s slots": 2, "service s order": 3, "service s conections": 4,
 		"client a token": 7, "client a weight": 8, "client a services": 9,
 		"client b token": 12, "preset ordinary queue": 15, "presets ": 17,
-	}, places)
+	}, lines)
 }
 
-// TestExamples parses the declarations of both deployments.
-func TestExamples(t *testing.T) {
-	for _, place := range []string{"restrepo", "kutchwala"} {
-		path := filepath.Join("..", "..", "examples", place, "declarations.ini")
+// TestExampleDeclarationsAreValid checks that the example declarations of both deployments
+// are valid.
+func TestExampleDeclarationsAreValid(t *testing.T) {
+	for _, deployment := range []string{"restrepo", "kutchwala"} {
+		path := filepath.Join("..", "..", "examples", deployment, "declarations.ini")
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		d, err := Parse(path, string(text))
@@ -67,19 +68,19 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := Parse("f", text)
 		if (d == nil) == (err == nil) {
-			t.Fatal("either declarations or faults are returned")
+			t.Fatal("Parse must return either declarations or an error")
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	good, err := Row{Text: "[service s]\n", Preset: Ordinary}.Encode()
+	valid, err := Row{Text: "[service s]\n", Preset: Ordinary}.Encode()
 	require.NoError(f, err)
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if c, err := Decode(1, data); err == nil && c.Current().Name == "" {
-			t.Fatal("a row without a preset was accepted")
+			t.Fatal("accepted a row without a preset")
 		}
 	})
 }
--- a/internal/declarer/row.go
+++ b/internal/declarer/row.go
@@ -7,40 +7,41 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// historyLength is how many changes a row remembers.
-const historyLength = 32
+// maxHistoryLength is the maximum number of changes in the history of a row.
+const maxHistoryLength = 32
 
-// Change tells who changed the row, when and how.
+// Change describes one change of the row.
 type Change struct {
 	// ID is unique to one attempt of one operator to change the row.
 	ID     string    `json:"id"`
 	Author string    `json:"author"`
 	Time   time.Time `json:"time"`
-	// Note says what was changed.
+	// Note describes what was changed.
 	Note string `json:"note"`
 	// Version is the row's version after the change.
 	Version uint64 `json:"version"`
 }
 
-// Row is the one row of the platform's table that holds the declarations and
-// the preset in force, under one version.
+// Row is the row of the platform's table that holds the declarations and the active
+// preset under one version.
 type Row struct {
 	Text   string `json:"text"`
 	Preset Name   `json:"preset"`
-	// Drained are targets that operators drain beside those in the text.
+	// Drained are the targets that operators drain in addition to those in Text.
 	Drained []string `json:"drained,omitempty"`
-	// History holds the newest change first.
+	// History holds the latest changes, the newest first.
 	History []Change `json:"history"`
 }
 
-// With returns a copy of the row with one more change in its history.
+// With returns a copy of the row with the change added to its history. The oldest change
+// is removed if the history is full.
 func (r Row) With(c Change) Row {
 	history := append([]Change{c}, r.History...)
-	r.History = history[:min(len(history), historyLength)]
+	r.History = history[:min(len(history), maxHistoryLength)]
 	return r
 }
 
-// Holds reports whether a change is in the row's history.
+// Holds reports whether the history contains the change with the given ID.
 func (r Row) Holds(id string) bool {
 	for _, c := range r.History {
 		if c.ID == id {
@@ -50,11 +51,11 @@
 	return false
 }
 
-// Encode returns the row as it is stored.
+// Encode returns the row in JSON, as it is stored.
 func (r Row) Encode() ([]byte, error) { return json.Marshal(r) }
 
-// Config is a row that was read, checked and given its version. It is not
-// changed after Decode and may be shared.
+// Config is a decoded and validated row with its version. It is not modified after Decode
+// and may be shared.
 type Config struct {
 	Version uint64
 	Row     Row
@@ -62,15 +63,15 @@
 	*Declarations
 }
 
-// Current returns the preset in force.
+// Current returns the active preset.
 func (c *Config) Current() Preset { return c.Preset(c.Row.Preset) }
 
-// Decode reads a stored row. The error names the fault; a daemon keeps the
-// configuration it has when it cannot read a new one.
+// Decode decodes and validates a stored row. A daemon keeps its current configuration when
+// a new one is invalid.
 func Decode(version uint64, raw []byte) (*Config, error) {
 	c := &Config{Version: version, Raw: raw}
 	if err := json.Unmarshal(raw, &c.Row); err != nil {
-		return nil, shallotrouter.Errorf(shallotrouter.Malformed, "row version %d is not readable: %v; apply the declarations anew", version, err)
+		return nil, shallotrouter.Errorf(shallotrouter.Malformed, "failed to decode row version %d: %v; apply the declarations again", version, err)
 	}
 	declarations, err := Parse("declarations", c.Row.Text)
 	if err != nil {
