--- a/client.go
+++ b/client.go
@@ -9,23 +9,23 @@
 	"net/url"
 )
 
-// maxResponse bounds a response in bytes.
-const maxResponse = 1 << 30
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 1 << 30
 
-// Client talks to the entry hosts. Its fields are set before use. It is safe
-// for concurrent use.
+// Client sends requests to the entry hosts. Set its fields before the first call.
+// It is safe for concurrent use.
 type Client struct {
-	// Address is the base URL of an entry host or of the balancer in front, such
-	// as "http://127.0.0.1:7100".
+	// Address is the base URL of an entry host or of a load balancer in front of
+	// the entry hosts, such as "http://127.0.0.1:7100".
 	Address string
 	// Token is the client's bearer token.
 	Token string
-	// HTTP makes the requests; nil means http.DefaultClient.
+	// HTTP sends the requests; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// Tickets takes a block of count tickets, from 1 to 1000. It returns an Error
-// when the host refuses.
+// Tickets requests a block of count tickets, from 1 to 1000. It returns an *Error
+// if the host refuses the request.
 func (c *Client) Tickets(ctx context.Context, count int) (Grant, error) {
 	var grant Grant
 	body, err := json.Marshal(struct {
@@ -34,59 +34,60 @@
 	if err != nil {
 		return grant, err
 	}
-	data, code, err := c.exchange(ctx, http.MethodPost, "/v1/tickets", body)
+	data, status, err := c.sendRequest(ctx, http.MethodPost, "/v1/tickets", body)
 	if err != nil {
 		return grant, err
 	}
-	if code != http.StatusOK {
-		return grant, refused(data, code)
+	if status != http.StatusOK {
+		return grant, responseError(data, status)
 	}
 	return grant, json.Unmarshal(data, &grant)
 }
 
-// Submit runs a job and waits for its answer. A job that is not complete is no
-// error: its outcome tells. An error means that no answer came; the job may have
-// run, and submitting the same ticket again tells.
+// Submit submits a job and waits for its answer. The outcome of the answer says
+// whether the job was completed; a job that was not completed is not an error. An
+// error means that no answer was received: the job may have run. Submit it again
+// under the same ticket to learn its outcome.
 func (c *Client) Submit(ctx context.Context, job Job) (Answer, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
 		return Answer{}, err
 	}
-	return c.answer(c.exchange(ctx, http.MethodPost, "/v1/jobs", body))
+	return c.decodeAnswer(c.sendRequest(ctx, http.MethodPost, "/v1/jobs", body))
 }
 
-// Cancel withdraws a job. The answer tells whether any of it ran.
+// Cancel cancels a job. The answer says whether any of its tasks ran.
 func (c *Client) Cancel(ctx context.Context, ticket string) (Answer, error) {
-	return c.answer(c.exchange(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(ticket), nil))
+	return c.decodeAnswer(c.sendRequest(ctx, http.MethodDelete, "/v1/jobs/"+url.PathEscape(ticket), nil))
 }
 
-// State returns the progress of a job.
+// State returns the progress of a job, with its answer if the job is final.
 func (c *Client) State(ctx context.Context, ticket string) (State, error) {
 	var state State
-	data, code, err := c.exchange(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(ticket), nil)
+	data, status, err := c.sendRequest(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(ticket), nil)
 	if err != nil {
 		return state, err
 	}
 	if err := json.Unmarshal(data, &state); err != nil {
-		return state, refused(data, code)
+		return state, responseError(data, status)
 	}
 	return state, nil
 }
 
-// answer decodes an Answer.
-func (c *Client) answer(data []byte, code int, err error) (Answer, error) {
-	var a Answer
+// decodeAnswer decodes an Answer.
+func (c *Client) decodeAnswer(data []byte, status int, err error) (Answer, error) {
+	var answer Answer
 	if err != nil {
-		return a, err
+		return answer, err
 	}
-	if err := json.Unmarshal(data, &a); err != nil || a.Outcome == "" {
-		return a, Errorf(Unknown, "the host answered status %d without an outcome; submit the same ticket again", code)
+	if err := json.Unmarshal(data, &answer); err != nil || answer.Outcome == "" {
+		return answer, Errorf(Unknown, "the host returned status %d without an outcome; submit the same ticket again", status)
 	}
-	return a, nil
+	return answer, nil
 }
 
-// exchange makes one request and returns the body and status of the response.
-func (c *Client) exchange(ctx context.Context, method, path string, body []byte) ([]byte, int, error) {
+// sendRequest sends a request and returns the body and status of the response.
+func (c *Client) sendRequest(ctx context.Context, method, path string, body []byte) ([]byte, int, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
@@ -102,15 +103,16 @@
 		return nil, 0, err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return data, response.StatusCode, err
 }
 
-// refused turns a response that is not what was asked for into an Error.
-func refused(data []byte, code int) error {
-	var a Answer
-	if err := json.Unmarshal(data, &a); err != nil || a.Reason == "" {
-		return Errorf(Unknown, "the host answered status %d; check the address", code)
+// responseError returns the Error that a response describes, or an Error with the
+// HTTP status if the response describes none.
+func responseError(data []byte, status int) error {
+	var answer Answer
+	if err := json.Unmarshal(data, &answer); err != nil || answer.Reason == "" {
+		return Errorf(Unknown, "the host returned status %d; check the address", status)
 	}
-	return &Error{Reason: a.Reason, Message: a.Message, After: a.After.Std()}
+	return &Error{Reason: answer.Reason, Message: answer.Message, After: answer.After.Std()}
 }
--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,7 @@
 // Package shallotrouter is the client of the shallotrouter dispatcher.
 //
-// A caller takes a [Client.Tickets] block from any entry host and submits each
-// [Job] under one ticket. The ticket makes a resubmission safe: whichever entry
-// host receives it, the job starts at most once. An [Answer] has one of four
-// outcomes, and only [Complete] carries results.
+// A client gets a block of tickets from any entry host with [Client.Tickets] and
+// submits each [Job] under its own ticket. The ticket makes it safe to submit the
+// job again, to any entry host: the job starts at most once. An [Answer] has one
+// of four outcomes; only [Complete] comes with results.
 package shallotrouter
--- a/example_test.go
+++ b/example_test.go
@@ -11,9 +11,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/stager"
 )
 
-// stage starts a deployment for the examples: one host, two stand-in targets that
-// echo their payload.
-func stage() (*stager.Stage, *shallotrouter.Client) {
+// startDeployment starts a deployment for the examples: one host and two stand-in
+// targets that echo their payload.
+func startDeployment() (*stager.Stage, *shallotrouter.Client) {
 	s := &stager.Stage{Zones: []string{"z"}, Hosts: []int{1}, Targets: 2, Slots: 8, Clients: []string{"comites"}, Log: logr.Discard()}
 	if err := s.Start(context.Background()); err != nil {
 		panic(err)
@@ -21,10 +21,10 @@
 	return s, s.Client(s.Nodes[0], "comites")
 }
 
-// A job is submitted under a ticket. Submitting it again, to any host, gives the
-// same answer and runs nothing.
+// A job is submitted under a ticket. Submitting it again under the same ticket, to
+// any host, returns the same answer and starts no task again.
 func ExampleClient_Submit() {
-	s, client := stage()
+	s, client := startDeployment()
 	defer s.Close()
 	ctx := context.Background()
 	grant, err := client.Tickets(ctx, 1)
@@ -50,9 +50,10 @@
 	// complete 2 12 pallets of water
 }
 
-// A refused job did not run. After tells when to come back, if that helps.
+// A refused job did not run. After says how long to wait before a retry, if a
+// retry helps.
 func ExampleAnswer() {
-	s, client := stage()
+	s, client := startDeployment()
 	defer s.Close()
 	answer, err := client.Submit(context.Background(), shallotrouter.Job{
 		Service: "unheard-of", Idempotent: true, Deadline: shallotrouter.Duration(time.Second),
@@ -68,9 +69,10 @@
 	// service "unheard-of" is not open to client comites; name a declared service
 }
 
-// A job that waits or runs can be asked for, and cancelled.
+// The state of a waiting or running job can be queried, and the job can be
+// cancelled.
 func ExampleClient_Cancel() {
-	s, client := stage()
+	s, client := startDeployment()
 	defer s.Close()
 	ctx := context.Background()
 	grant, err := client.Tickets(ctx, 1)
