--- a/internal/faker/pair.go
+++ b/internal/faker/pair.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// WritePair writes a self-signed certificate for 127.0.0.1, good for an hour, and
-// its key into a folder, and returns their paths.
+// WritePair writes a self-signed certificate for 127.0.0.1, valid for an hour, and its
+// private key to a folder. It returns the paths of both files.
 func WritePair(dir string, serial int64) (certificate, key string, err error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
 	}
@@ -24,22 +24,22 @@
 		SerialNumber: big.NewInt(serial), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: true, BasicConstraintsValid: true,
 	}
-	public, err := x509.CreateCertificate(rand.Reader, template, template, &private.PublicKey, private)
+	certificateData, err := x509.CreateCertificate(rand.Reader, template, template, &privateKey.PublicKey, privateKey)
 	if err != nil {
 		return "", "", err
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(private)
+	keyData, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return "", "", err
 	}
 	certificate, key = filepath.Join(dir, "host.pem"), filepath.Join(dir, "host.key")
-	if err := writePEM(certificate, "CERTIFICATE", public); err != nil {
+	if err := writePEM(certificate, "CERTIFICATE", certificateData); err != nil {
 		return "", "", err
 	}
-	return certificate, key, writePEM(key, "PRIVATE KEY", secret)
+	return certificate, key, writePEM(key, "PRIVATE KEY", keyData)
 }
 
-// writePEM writes one block that only the owner can read.
+// writePEM writes a PEM block to a file that only its owner can read.
 func writePEM(path, kind string, data []byte) error {
 	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data}), 0o600)
 }
--- a/internal/faker/platform.go
+++ b/internal/faker/platform.go
@@ -1,6 +1,6 @@
-// Package faker has small stand-ins for the systems that the dispatcher meets:
-// the platform's table and host list, and targets. They are for examples and
-// tests.
+// Package faker implements small stand-ins for the systems that the dispatcher
+// depends on: the platform's table and host list, and targets. They are used by
+// examples and tests.
 package faker
 
 import (
@@ -14,43 +14,43 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Faults are the failures that a Platform shows.
+// Faults are the faults that are injected into a Platform.
 type Faults struct {
-	// Outage refuses every request.
+	// Outage makes every request fail with status 503.
 	Outage bool `json:"outage"`
-	// Delay is added to every request.
+	// Delay is added to the response time of every request.
 	Delay time.Duration `json:"delay"`
-	// Lose is how many writes take effect and lose their answer.
+	// Lose is the number of writes that take effect but whose answer is lost.
 	Lose int `json:"lose"`
-	// Stale is how many reads show the version before the newest.
+	// Stale is the number of reads that return the version before the newest.
 	Stale int `json:"stale"`
 }
 
-// Platform is a stand-in for the platform. Its zero value is ready. It is safe
+// Platform is a stand-in for the platform. Its zero value is ready to use. It is safe
 // for concurrent use.
 type Platform struct {
-	// Lag is how long a change of the host list stays unseen.
+	// Lag is the delay until a change of the host list becomes visible.
 	Lag time.Duration
 
-	mutex    sync.Mutex
-	faults   Faults
-	rows     map[string][]row
-	shown    map[string]scheduler.Directory
-	pending  []pending
-	reads    int
-	writes   int
-	versions uint64
+	mutex                sync.Mutex
+	faults               Faults
+	rows                 map[string][]row
+	directories          map[string]scheduler.Directory
+	pendingDirectories   []pendingDirectory
+	reads                int
+	writes               int
+	lastDirectoryVersion uint64
 }
 
-// row is one version of a row.
+// row is a version of a row.
 type row struct {
 	version uint64
 	value   []byte
 }
 
-// pending is a host list that is not shown yet.
-type pending struct {
-	at        time.Time
+// pendingDirectory is a host list that is not visible yet.
+type pendingDirectory struct {
+	visibleAt time.Time
 	directory scheduler.Directory
 }
 
@@ -58,39 +58,41 @@
 // /hosts, and for tests PUT /hosts and PUT /faults.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /table/{key}", p.faulty(p.read))
-	mux.HandleFunc("PUT /table/{key}", p.faulty(p.write))
-	mux.HandleFunc("GET /hosts", p.faulty(p.hosts))
-	mux.HandleFunc("PUT /hosts", p.list)
-	mux.HandleFunc("PUT /faults", p.setFaults)
+	mux.HandleFunc("GET /table/{key}", p.injectFaults(p.handleReadRow))
+	mux.HandleFunc("PUT /table/{key}", p.injectFaults(p.handleWriteRow))
+	mux.HandleFunc("GET /hosts", p.injectFaults(p.handleReadHosts))
+	mux.HandleFunc("PUT /hosts", p.handleSetHosts)
+	mux.HandleFunc("PUT /faults", p.handleSetFaults)
 	return mux
 }
 
-// Set changes the failures.
+// Set replaces the injected faults.
 func (p *Platform) Set(f Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = f
 }
 
-// List sets the host list of a zone. It is shown after the lag.
+// List sets the host list of a zone. The list becomes visible after the delay of the
+// platform.
 func (p *Platform) List(zone string, hosts []scheduler.Host) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.versions++
-	d := scheduler.Directory{Version: p.versions, Zone: zone, Hosts: hosts}
-	p.pending = append(p.pending, pending{at: time.Now().Add(p.Lag), directory: d})
+	p.lastDirectoryVersion++
+	d := scheduler.Directory{Version: p.lastDirectoryVersion, Zone: zone, Hosts: hosts}
+	p.pendingDirectories = append(p.pendingDirectories, pendingDirectory{visibleAt: time.Now().Add(p.Lag), directory: d})
 }
 
-// Counts returns how many reads and writes were answered or refused.
+// Counts returns the numbers of read and write requests received.
 func (p *Platform) Counts() (reads, writes int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.reads, p.writes
 }
 
-// faulty adds the failures to a handler.
-func (p *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
+// injectFaults counts a request and applies the delay and the outage before it calls
+// the next handler.
+func (p *Platform) injectFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mutex.Lock()
 		f := p.faults
@@ -111,7 +113,7 @@
 	}
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleReadRow(w http.ResponseWriter, r *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	versions := p.rows[r.PathValue("key")]
@@ -119,26 +121,27 @@
 		http.Error(w, "no row", http.StatusNotFound)
 		return
 	}
-	newest := versions[len(versions)-1]
+	shown := versions[len(versions)-1]
 	if p.faults.Stale > 0 && len(versions) > 1 {
 		p.faults.Stale--
-		newest = versions[len(versions)-2]
+		shown = versions[len(versions)-2]
 	}
-	show(w, r, newest.version, newest.value)
+	writeValue(w, r, shown.version, shown.value)
 }
 
-// show writes a value unless the reader already has its version.
-func show(w http.ResponseWriter, r *http.Request, version uint64, value []byte) {
+// writeValue sends a value with its version, or status 304 if the client already has
+// that version.
+func writeValue(w http.ResponseWriter, r *http.Request, version uint64, value []byte) {
 	text := strconv.FormatUint(version, 10)
 	w.Header().Set("Version", text)
 	if r.Header.Get("If-None-Match") == text {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	_, _ = w.Write(value) // a reader that has gone away needs no answer
+	_, _ = w.Write(value) // the client has disconnected
 }
 
-func (p *Platform) write(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleWriteRow(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -166,18 +169,18 @@
 	w.Header().Set("Version", strconv.FormatUint(current+1, 10))
 }
 
-func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleReadHosts(w http.ResponseWriter, r *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.shown == nil {
-		p.shown = make(map[string]scheduler.Directory)
+	if p.directories == nil {
+		p.directories = make(map[string]scheduler.Directory)
 	}
 	now := time.Now()
-	for len(p.pending) > 0 && !now.Before(p.pending[0].at) {
-		p.shown[p.pending[0].directory.Zone] = p.pending[0].directory
-		p.pending = p.pending[1:]
+	for len(p.pendingDirectories) > 0 && !now.Before(p.pendingDirectories[0].visibleAt) {
+		p.directories[p.pendingDirectories[0].directory.Zone] = p.pendingDirectories[0].directory
+		p.pendingDirectories = p.pendingDirectories[1:]
 	}
-	d, ok := p.shown[r.URL.Query().Get("zone")]
+	d, ok := p.directories[r.URL.Query().Get("zone")]
 	if !ok {
 		http.Error(w, "no such zone", http.StatusServiceUnavailable)
 		return
@@ -187,10 +190,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	show(w, r, d.Version, value)
+	writeValue(w, r, d.Version, value)
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleSetHosts(w http.ResponseWriter, r *http.Request) {
 	var d scheduler.Directory
 	if err := json.NewDecoder(r.Body).Decode(&d); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -199,7 +202,7 @@
 	p.List(d.Zone, d.Hosts)
 }
 
-func (p *Platform) setFaults(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -208,7 +211,7 @@
 	p.Set(f)
 }
 
-// Store writes a row whatever its version is.
+// Store writes a row without a check of its version.
 func (p *Platform) Store(key string, value []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -223,7 +226,8 @@
 	p.rows[key] = append(versions, row{version: next, value: value})
 }
 
-// Row returns the newest version of a row and its number, 0 when there is none.
+// Row returns the newest version number and value of a row, 0 and nil if there is
+// none.
 func (p *Platform) Row(key string) (uint64, []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/faker/target.go
+++ b/internal/faker/target.go
@@ -11,80 +11,82 @@
 	"github.com/shallotrouter/shallotrouter/internal/dispatcher"
 )
 
-// Work is the payload that a Target understands. Any other payload is echoed.
+// Work is the payload that controls a task at a Target. Any other payload is echoed.
 type Work struct {
-	// Run is how long the task runs.
+	// Run is the run time of the task.
 	Run time.Duration `json:"run"`
-	// Echo is the task's result.
+	// Echo is the result of the task.
 	Echo string `json:"echo"`
 	// Fail makes the task fail.
 	Fail bool `json:"fail"`
 }
 
-// Trouble is how a Target misbehaves.
+// Trouble holds the faults that are injected into a Target.
 type Trouble struct {
-	// Fail fails every task.
+	// Fail makes every task fail.
 	Fail bool `json:"fail"`
-	// Slow multiplies run times when above 1.
+	// Slow multiplies the run times of the tasks if it is above 1.
 	Slow float64 `json:"slow"`
-	// Leaving refuses every task as leaving.
+	// Leaving refuses every task with the reason "leaving".
 	Leaving bool `json:"leaving"`
 	// Cut closes the connection instead of answering.
 	Cut bool `json:"cut"`
 	// Truncate sends half of each result.
 	Truncate bool `json:"truncate"`
-	// Mislabel answers with another task's name.
+	// Mislabel answers with the name of another task.
 	Mislabel bool `json:"mislabel"`
-	// Silent never answers.
+	// Silent starts the task but never answers.
 	Silent bool `json:"silent"`
 }
 
-// Counts are what a Target has seen.
+// Counts holds the counters of a Target.
 type Counts struct {
-	// Starts counts the starts of each task by its name.
+	// Starts is the number of starts by the name of the task.
 	Starts map[string]int `json:"starts"`
-	// Most is the greatest number of tasks that ran together.
+	// Most is the maximum number of tasks that ran at once.
 	Most int `json:"most"`
-	// Late and Left count the refusals.
+	// Late counts the tasks that were refused because their start-by time had
+	// passed, Left those that were refused because the target is leaving.
 	Late int `json:"late"`
 	Left int `json:"left"`
 }
 
-// Target is a stand-in for a back end. It is safe for concurrent use.
+// Target is a stand-in for a target. Call Handler once; afterwards it is safe for
+// concurrent use.
 type Target struct {
-	// Slots bounds the tasks that run together.
+	// Slots is the maximum number of tasks that run at once.
 	Slots int
 
-	mutex   sync.Mutex
-	free    chan struct{} // one token a free slot
-	running int
-	trouble Trouble
-	counts  Counts
+	mutex     sync.Mutex
+	freeSlots chan struct{} // holds one token per free slot
+	running   int
+	faults    Trouble
+	counts    Counts
 }
 
 // Handler returns the target's HTTP interface: POST /run, and for tests GET
 // /counts and PUT /trouble.
 func (t *Target) Handler() http.Handler {
 	t.counts.Starts = make(map[string]int)
-	t.free = make(chan struct{}, t.Slots)
+	t.freeSlots = make(chan struct{}, t.Slots)
 	for range t.Slots {
-		t.free <- struct{}{}
+		t.freeSlots <- struct{}{}
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+dispatcher.Path, t.run)
-	mux.HandleFunc("GET /counts", t.showCounts)
-	mux.HandleFunc("PUT /trouble", t.setTrouble)
+	mux.HandleFunc("POST "+dispatcher.Path, t.handleTask)
+	mux.HandleFunc("GET /counts", t.handleCounts)
+	mux.HandleFunc("PUT /trouble", t.handleSetTrouble)
 	return mux
 }
 
-// Set changes how the target misbehaves.
-func (t *Target) Set(trouble Trouble) {
+// Set replaces the injected faults.
+func (t *Target) Set(faults Trouble) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.trouble = trouble
+	t.faults = faults
 }
 
-// Counts returns a copy of what the target has seen.
+// Counts returns a copy of the counters.
 func (t *Target) Counts() Counts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -96,118 +98,119 @@
 	return c
 }
 
-// run takes one task.
-func (t *Target) run(w http.ResponseWriter, r *http.Request) {
+// handleTask waits for a slot, runs a task and sends its result.
+func (t *Target) handleTask(w http.ResponseWriter, r *http.Request) {
 	payload, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	name := r.Header.Get(dispatcher.HeaderTask)
-	reason := t.await(r)
+	reason := t.waitForSlot(r)
 	if reason != "" {
 		w.Header().Set(dispatcher.HeaderNotStarted, name)
 		w.Header().Set(dispatcher.HeaderReason, reason)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	trouble := t.begin(name)
+	faults := t.recordStart(name)
 	work := Work{Echo: string(payload)}
-	_ = json.Unmarshal(payload, &work) // any other payload is echoed as it is
-	t.work(r, work, trouble)
-	t.end()
-	t.answer(w, name, work, trouble)
+	_ = json.Unmarshal(payload, &work) // any other payload is echoed unchanged
+	t.execute(r, work, faults)
+	t.releaseSlot()
+	t.sendResult(w, name, work, faults)
 }
 
-// await takes a slot, or returns the reason to refuse the task. A task waits for
-// a slot until its start-by time.
-func (t *Target) await(r *http.Request) string {
-	limit, err := strconv.ParseInt(r.Header.Get(dispatcher.HeaderStartBy), 10, 64)
-	left := time.Until(time.UnixMilli(limit))
+// waitForSlot waits for a free slot until the start-by time of the task and takes it.
+// It returns the reason if the task is refused, an empty string otherwise.
+func (t *Target) waitForSlot(r *http.Request) string {
+	startBy, err := strconv.ParseInt(r.Header.Get(dispatcher.HeaderStartBy), 10, 64)
+	timeLeft := time.Until(time.UnixMilli(startBy))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.trouble.Leaving {
+	if t.faults.Leaving {
 		t.counts.Left++
 		return "leaving"
 	}
-	if err != nil || left <= 0 {
+	if err != nil || timeLeft <= 0 {
 		t.counts.Late++
 		return "late"
 	}
 	t.mutex.Unlock()
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(timeLeft)
 	defer timer.Stop()
-	taken := false
+	hasSlot := false
 	select {
-	case <-t.free:
-		taken = true
+	case <-t.freeSlots:
+		hasSlot = true
 	case <-timer.C:
 	case <-r.Context().Done():
 	}
 	t.mutex.Lock()
-	if !taken {
+	if !hasSlot {
 		t.counts.Late++
 		return "late"
 	}
 	return ""
 }
 
-// begin counts a start.
-func (t *Target) begin(name string) Trouble {
+// recordStart counts a start and returns the faults that apply to it.
+func (t *Target) recordStart(name string) Trouble {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.running++
 	t.counts.Most = max(t.counts.Most, t.running)
 	t.counts.Starts[name]++
-	return t.trouble
+	return t.faults
 }
 
-// end gives the slot back.
-func (t *Target) end() {
+// releaseSlot frees the slot of a task that ended.
+func (t *Target) releaseSlot() {
 	t.mutex.Lock()
 	t.running--
 	t.mutex.Unlock()
-	t.free <- struct{}{}
+	t.freeSlots <- struct{}{}
 }
 
-// work spends the task's time. A silent target waits until its caller leaves.
-func (t *Target) work(r *http.Request, work Work, trouble Trouble) {
-	if trouble.Silent {
+// execute sleeps for the run time of the task. With the fault Silent it waits until
+// the caller disconnects.
+func (t *Target) execute(r *http.Request, work Work, faults Trouble) {
+	if faults.Silent {
 		<-r.Context().Done()
 		return
 	}
-	if trouble.Fail {
+	if faults.Fail {
 		return
 	}
-	time.Sleep(time.Duration(float64(work.Run) * max(1, trouble.Slow)))
+	time.Sleep(time.Duration(float64(work.Run) * max(1, faults.Slow)))
 }
 
-func (t *Target) answer(w http.ResponseWriter, name string, work Work, trouble Trouble) {
-	if trouble.Cut {
+func (t *Target) sendResult(w http.ResponseWriter, name string, work Work, faults Trouble) {
+	if faults.Cut {
 		panic(http.ErrAbortHandler)
 	}
-	if trouble.Mislabel {
+	if faults.Mislabel {
 		name += "x"
 	}
 	w.Header().Set(dispatcher.HeaderTask, name)
-	if work.Fail || trouble.Fail {
+	if work.Fail || faults.Fail {
 		http.Error(w, "task failed", http.StatusInternalServerError)
 		return
 	}
-	if trouble.Truncate {
+	if faults.Truncate {
 		w.Header().Set("Content-Length", strconv.Itoa(len(work.Echo)+1))
 	}
-	_, _ = io.WriteString(w, work.Echo) // a caller that has gone away needs no answer
+	_, _ = io.WriteString(w, work.Echo) // the caller has disconnected
 }
 
-func (t *Target) showCounts(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(t.Counts()) // a caller that has gone away needs no answer
+func (t *Target) handleCounts(w http.ResponseWriter, _ *http.Request) {
+	_ = json.NewEncoder(w).Encode(t.Counts()) // the caller has disconnected
 }
 
-func (t *Target) setTrouble(w http.ResponseWriter, r *http.Request) {
-	var trouble Trouble
-	if err := json.NewDecoder(r.Body).Decode(&trouble); err != nil {
+func (t *Target) handleSetTrouble(w http.ResponseWriter, r *http.Request) {
+	var faults Trouble
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.Set(trouble)
+	t.Set(faults)
 }
