--- a/examples/fleet/main.go
+++ b/examples/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet plays deployments in virtual time under several loads and
-// troubles, and prints what callers get.
+// Command fleet simulates deployments in virtual time under several loads and faults,
+// and prints the benefit and the outcomes that clients get.
 package main
 
 import (
@@ -15,81 +15,81 @@
 	"github.com/shallotrouter/shallotrouter/internal/modeler"
 )
 
-// scenario is one row of the table, played with several seeds.
+// scenario is a row of the table, simulated with several seeds.
 type scenario struct {
-	name  string
-	world modeler.World
-	seeds int
-	plays []modeler.World
+	name       string
+	simulation modeler.World
+	seeds      int
+	runs       []modeler.World
 }
 
 func main() {
 	site := flag.String("site", "restrepo", "the `site`: restrepo or kutchwala")
-	loads := flag.String("loads", "0.6,1.1,1.43,2.2", "the loads, as factors on the usual traffic")
-	length := flag.Duration("length", 12*time.Second, "the virtual time of the load")
-	seeds := flag.Int("seeds", 4, "the seeds of each scenario")
+	loads := flag.String("loads", "0.6,1.1,1.43,2.2", "the loads, as factors of the ordinary traffic, separated by commas")
+	duration := flag.Duration("length", 12*time.Second, "the virtual duration of the load")
+	seeds := flag.Int("seeds", 4, "the number of seeds of each scenario")
 	flag.Parse()
 	base := modeler.Restrepo()
 	if *site == "kutchwala" {
 		base = modeler.Kutchwala()
 	}
-	base.Length = *length
-	var list []*scenario
-	for text := range strings.SplitSeq(*loads, ",") {
-		load, err := strconv.ParseFloat(text, 64)
+	base.Length = *duration
+	var scenarios []*scenario
+	for loadText := range strings.SplitSeq(*loads, ",") {
+		load, err := strconv.ParseFloat(loadText, 64)
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%q is no load; write numbers such as 1.1\n", text)
+			fmt.Fprintf(os.Stderr, "%q is not a load; use numbers such as 1.1\n", loadText)
 			os.Exit(2)
 		}
-		w := base
-		w.Load = load
-		list = append(list, &scenario{name: "load " + text, world: w, seeds: *seeds})
+		simulation := base
+		simulation.Load = load
+		scenarios = append(scenarios, &scenario{name: "load " + loadText, simulation: simulation, seeds: *seeds})
 	}
-	for _, trouble := range []modeler.Trouble{modeler.FailTarget, modeler.HangTarget, modeler.SlowTarget} {
-		w := base
-		w.Faults = []modeler.Fault{{Trouble: trouble, At: 3 * time.Second, For: 8 * time.Second, Share: 1.0 / 7}}
-		list = append(list, &scenario{name: string(trouble), world: w, seeds: *seeds})
+	for _, fault := range []modeler.Trouble{modeler.FailTarget, modeler.HangTarget, modeler.SlowTarget} {
+		simulation := base
+		simulation.Faults = []modeler.Fault{{Trouble: fault, At: 3 * time.Second, For: 8 * time.Second, Share: 1.0 / 7}}
+		scenarios = append(scenarios, &scenario{name: string(fault), simulation: simulation, seeds: *seeds})
 	}
 	var group sync.WaitGroup
-	for _, s := range list {
+	for _, s := range scenarios {
 		group.Add(1)
 		go s.run(&group)
 	}
 	group.Wait()
-	show(list)
+	printTable(scenarios)
 }
 
-// run plays the scenario with all its seeds.
+// run simulates the scenario with all its seeds.
 func (s *scenario) run(group *sync.WaitGroup) {
 	defer group.Done()
-	s.plays = make([]modeler.World, s.seeds)
-	for i := range s.plays {
-		s.plays[i] = s.world
-		s.plays[i].Seed = uint64(i) + 1
-		s.plays[i].Run()
+	s.runs = make([]modeler.World, s.seeds)
+	for i := range s.runs {
+		s.runs[i] = s.simulation
+		s.runs[i].Seed = uint64(i) + 1
+		s.runs[i].Run()
 	}
 }
 
-// show prints the table.
-func show(list []*scenario) {
+// printTable prints the table.
+func printTable(scenarios []*scenario) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\tworth\tworst 2 s\tin time\tlate\trefused\tfailed\tunknown\tstarts a task\tlarge jobs\tbroken")
-	for _, s := range list {
-		var worth, worst float64
-		var asked, inTime, late, refused, failed, unknown, broken int
-		for i := range s.plays {
-			p := &s.plays[i]
-			worth += p.Tally.Worth() / float64(len(s.plays))
-			worst += p.Tally.WorstSpan(2) / float64(len(s.plays))
-			broken += len(p.Broken)
+	for _, s := range scenarios {
+		var benefit, worstBenefit float64
+		var sent, inTime, late, refused, failed, unknown, violations int
+		for i := range s.runs {
+			p := &s.runs[i]
+			benefit += p.Tally.Worth() / float64(len(s.runs))
+			worstBenefit += p.Tally.WorstSpan(2) / float64(len(s.runs))
+			violations += len(p.Broken)
 			for _, n := range p.Tally.Kinds {
-				asked, inTime, late = asked+n.Asked, inTime+n.InTime, late+n.Late
+				sent, inTime, late = sent+n.Asked, inTime+n.InTime, late+n.Late
 				refused, failed, unknown = refused+n.Refused, failed+n.Failed, unknown+n.Unknown
 			}
 		}
-		part := func(n int) float64 { return float64(n) / float64(max(asked, 1)) }
+		share := func(n int) float64 { return float64(n) / float64(max(sent, 1)) }
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f\t%.4f\t%.2f\t%.2f\t%d\n",
-			s.name, worth, worst, part(inTime), part(late), part(refused), part(failed), part(unknown), s.startsATask(), s.large(), broken)
+			s.name, benefit, worstBenefit, share(inTime), share(late), share(refused), share(failed), share(unknown), s.startsPerTask(), s.minLargeJobRatio(), violations)
 	}
 	if err := w.Flush(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -97,28 +97,29 @@
 	}
 }
 
-// large returns how often the largest tenth of a kind of job was completed, over
-// how often all of it were, for the kind where that is least.
-func (s *scenario) large() float64 {
+// minLargeJobRatio returns the completion rate of the largest tenth of the jobs of a
+// kind, relative to the rate of all jobs of the kind. It returns the lowest ratio of
+// all kinds.
+func (s *scenario) minLargeJobRatio() float64 {
 	sums := make(map[string]float64)
-	for i := range s.plays {
-		for name, n := range s.plays[i].Tally.Kinds {
-			sums[name] += n.Large() / float64(len(s.plays))
+	for i := range s.runs {
+		for name, n := range s.runs[i].Tally.Kinds {
+			sums[name] += n.Large() / float64(len(s.runs))
 		}
 	}
-	least := 1.0
+	minRatio := 1.0
 	for _, sum := range sums {
-		least = min(least, sum)
+		minRatio = min(minRatio, sum)
 	}
-	return least
+	return minRatio
 }
 
-// startsATask returns how often a task was started on average.
-func (s *scenario) startsATask() float64 {
+// startsPerTask returns the mean number of starts of a task.
+func (s *scenario) startsPerTask() float64 {
 	starts, tasks := 0, 0
-	for i := range s.plays {
-		starts += s.plays[i].Tally.Starts
-		tasks += s.plays[i].Tally.Tasks
+	for i := range s.runs {
+		starts += s.runs[i].Tally.Starts
+		tasks += s.runs[i].Tally.Tasks
 	}
 	return float64(starts) / float64(max(tasks, 1))
 }
--- a/examples/loopback/main.go
+++ b/examples/loopback/main.go
@@ -1,6 +1,7 @@
-// Command loopback measures on real connections what examples/policies measures
-// in virtual time: a small client alone, beside a client that floods, and in one
-// queue with it. It takes three daemons and stand-in targets in one process.
+// Command loopback measures over real connections what examples/policies measures in
+// virtual time: a small client alone, beside a client that floods the deployment, and
+// in one queue with that client. It runs three daemons and the stand-in targets in one
+// process.
 package main
 
 import (
@@ -30,16 +31,16 @@
 )
 
 func main() {
-	length := flag.Duration("length", 15*time.Second, "how long to measure each case")
+	duration := flag.Duration("length", 15*time.Second, "how long to measure each scenario")
 	flag.Parse()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "case\tjobs\tmean slowdown\tp50\tp99\ttwice started\t")
-	for _, c := range []trial{
-		{name: "small alone", small: "small"},
-		{name: "beside a flood, a queue each", small: "small", flood: "flood"},
-		{name: "beside a flood, one FIFO", small: "flood", flood: "flood", order: "order = first"},
+	for _, c := range []scenario{
+		{name: "small alone", smallClient: "small"},
+		{name: "beside a flood, a queue each", smallClient: "small", floodClient: "flood"},
+		{name: "beside a flood, one FIFO", smallClient: "flood", floodClient: "flood", orderLine: "order = first"},
 	} {
-		if err := c.measure(w, *length); err != nil {
+		if err := c.measure(w, *duration); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -49,54 +50,54 @@
 	}
 }
 
-// trial is one case to measure.
-type trial struct {
-	name  string
-	small string // the client that the small jobs are submitted as
-	flood string // the client that floods, if any
-	order string
+// scenario is a scenario to measure.
+type scenario struct {
+	name        string
+	smallClient string // client under which the small jobs are submitted
+	floodClient string // client that floods the deployment; empty means none
+	orderLine   string
 }
 
-// measure runs the case and writes its row.
-func (c trial) measure(w *tabwriter.Writer, length time.Duration) error {
+// measure runs the scenario and prints its row.
+func (c scenario) measure(w *tabwriter.Writer, duration time.Duration) error {
 	s := &stager.Stage{
 		Zones: []string{"z"}, Hosts: []int{3}, Targets: targets, Slots: slots, Clients: []string{"small", "flood"},
-		Log: logr.Discard(), Order: c.order,
+		Log: logr.Discard(), Order: c.orderLine,
 	}
 	if err := s.Start(context.Background()); err != nil {
 		return err
 	}
 	defer s.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), length)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var group sync.WaitGroup
-	p := &player{stage: s, group: &group, random: rand.New(rand.NewPCG(1, 2))}
-	if c.flood != "" {
-		p.spawn(ctx, source{client: c.flood, label: "flood", least: 50, most: 100, gap: 400 * time.Millisecond})
+	g := &loadGenerator{stage: s, group: &group, random: rand.New(rand.NewPCG(1, 2))}
+	if c.floodClient != "" {
+		g.start(ctx, jobSource{client: c.floodClient, kind: "flood", minTasks: 50, maxTasks: 100, meanInterval: 400 * time.Millisecond})
 	}
-	p.spawn(ctx, source{client: c.small, label: "small", least: 1, most: 4, gap: 60 * time.Millisecond})
+	g.start(ctx, jobSource{client: c.smallClient, kind: "small", minTasks: 1, maxTasks: 4, meanInterval: 60 * time.Millisecond})
 	group.Wait()
-	slices.Sort(p.slowdowns)
-	twice := 0
+	slices.Sort(g.slowdowns)
+	startedTwice := 0
 	for _, n := range s.Starts() {
 		if n > 1 {
-			twice++
+			startedTwice++
 		}
 	}
-	n := len(p.slowdowns)
+	n := len(g.slowdowns)
 	if n == 0 {
-		return fmt.Errorf("%s: no small job ended", c.name)
+		return fmt.Errorf("%s: no job of the small client was completed", c.name)
 	}
 	sum := 0.0
-	for _, x := range p.slowdowns {
-		sum += x
+	for _, slowdown := range g.slowdowns {
+		sum += slowdown
 	}
-	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d\t\n", c.name, n, sum/float64(n), p.slowdowns[n/2], p.slowdowns[n*99/100], twice)
+	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d\t\n", c.name, n, sum/float64(n), g.slowdowns[n/2], g.slowdowns[n*99/100], startedTwice)
 	return nil
 }
 
-// player submits jobs and collects the slowdowns of the small ones.
-type player struct {
+// loadGenerator submits jobs and collects the slowdowns of the small client's jobs.
+type loadGenerator struct {
 	stage     *stager.Stage
 	group     *sync.WaitGroup
 	mutex     sync.Mutex
@@ -104,76 +105,79 @@
 	slowdowns []float64
 }
 
-// spawn submits the source's jobs until the context ends.
-func (p *player) spawn(ctx context.Context, s source) {
-	s.player = p
-	p.group.Add(1)
+// start starts to submit the jobs of a source, until the context ends.
+func (g *loadGenerator) start(ctx context.Context, s jobSource) {
+	s.generator = g
+	g.group.Add(1)
 	go s.run(ctx)
 }
 
-// source is one stream of jobs of least to most tasks at a mean gap.
-type source struct {
-	player      *player
-	client      string
-	label       string
-	least, most int
-	gap         time.Duration
+// jobSource is a stream of jobs of minTasks to maxTasks tasks, submitted as a Poisson
+// process with the given mean interval.
+type jobSource struct {
+	generator          *loadGenerator
+	client             string
+	kind               string
+	minTasks, maxTasks int
+	meanInterval       time.Duration
 }
 
-// shortest and longest bound the run times.
+// minRunTime and maxRunTime are the bounds of the run times.
 const (
-	shortest = 50 * time.Millisecond
-	longest  = time.Second
+	minRunTime = 50 * time.Millisecond
+	maxRunTime = time.Second
 )
 
-func (s *source) run(ctx context.Context) {
-	defer s.player.group.Done()
+func (s *jobSource) run(ctx context.Context) {
+	defer s.generator.group.Done()
 	for ctx.Err() == nil {
-		pause, runs, host := s.draw()
-		timer := time.NewTimer(pause)
+		delay, runTimes, host := s.nextJob()
+		timer := time.NewTimer(delay)
 		<-timer.C
-		s.player.group.Add(1)
-		go (&call{source: s, runs: runs, node: s.player.stage.Nodes[host]}).run(ctx)
+		s.generator.group.Add(1)
+		go (&submission{source: s, runTimes: runTimes, node: s.generator.stage.Nodes[host]}).run(ctx)
 	}
 }
 
-// draw returns the time to the next job, its run times and its entry host.
-func (s *source) draw() (pause time.Duration, runs []time.Duration, host int) {
-	p := s.player
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	pause = time.Duration(p.random.ExpFloat64() * float64(s.gap))
-	for range s.least + p.random.IntN(s.most-s.least+1) {
-		runs = append(runs, shortest+time.Duration(p.random.Int64N(int64(longest-shortest))))
+// nextJob returns the delay until the next job, the run times of its tasks and the
+// index of its entry host.
+func (s *jobSource) nextJob() (delay time.Duration, runTimes []time.Duration, host int) {
+	g := s.generator
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	delay = time.Duration(g.random.ExpFloat64() * float64(s.meanInterval))
+	for range s.minTasks + g.random.IntN(s.maxTasks-s.minTasks+1) {
+		runTimes = append(runTimes, minRunTime+time.Duration(g.random.Int64N(int64(maxRunTime-minRunTime))))
 	}
-	return pause, runs, p.random.IntN(len(p.stage.Nodes))
+	return delay, runTimes, g.random.IntN(len(g.stage.Nodes))
 }
 
-// call is one job.
-type call struct {
-	source *source
-	runs   []time.Duration
-	node   *stager.Node
+// submission is a job to submit.
+type submission struct {
+	source   *jobSource
+	runTimes []time.Duration
+	node     *stager.Node
 }
 
-// run submits the job. A flooding job is given up when the measurement ends.
-func (c *call) run(ctx context.Context) {
-	s := c.source
-	defer s.player.group.Done()
+// run submits the job and records the slowdown if it is a completed job of the small
+// client. Jobs without an answer are aborted when the measurement ends.
+func (s *submission) run(ctx context.Context) {
+	source := s.source
+	defer source.generator.group.Done()
 	job := shallotrouter.Job{Service: stager.Service, Idempotent: true, Deadline: shallotrouter.Duration(deadline)}
-	for _, run := range c.runs {
-		payload, err := json.Marshal(faker.Work{Run: run, Echo: strings.Repeat("x", 10)})
+	for _, runTime := range s.runTimes {
+		payload, err := json.Marshal(faker.Work{Run: runTime, Echo: strings.Repeat("x", 10)})
 		if err != nil {
 			return
 		}
-		job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: s.label, Payload: payload})
+		job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: source.kind, Payload: payload})
 	}
 	start := time.Now()
-	answer, err := s.player.stage.Client(c.node, s.client).Submit(ctx, job)
-	if s.label != "small" || err != nil || answer.Outcome != shallotrouter.Complete {
+	answer, err := source.generator.stage.Client(s.node, source.client).Submit(ctx, job)
+	if source.kind != "small" || err != nil || answer.Outcome != shallotrouter.Complete {
 		return
 	}
-	s.player.mutex.Lock()
-	defer s.player.mutex.Unlock()
-	s.player.slowdowns = append(s.player.slowdowns, time.Since(start).Seconds()/slices.Max(c.runs).Seconds())
+	source.generator.mutex.Lock()
+	defer source.generator.mutex.Unlock()
+	source.generator.slowdowns = append(source.generator.slowdowns, time.Since(start).Seconds()/slices.Max(s.runTimes).Seconds())
 }
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs the stand-ins of a deployment as processes of their own.
+// Command standin runs a stand-in for the platform or for a target as a separate
+// process, sets the host list of the stand-in platform, or generates load.
 //
 //	standin platform -listen 127.0.0.1:7000 -declarations FILE -preset ordinary
 //	standin target -listen 127.0.0.1:7201 -slots 8
@@ -22,43 +23,43 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-const usage = "usage: standin platform|target|hosts|load [flags]; -h after the word lists the flags"
+const usage = "usage: standin platform|target|hosts|load [flags]; use -h after the command to list its flags"
 
-// headerTimeout bounds the reading of a request's header.
-const headerTimeout = 5 * time.Second
+// readHeaderTimeout is the maximum time to read the header of a request.
+const readHeaderTimeout = 5 * time.Second
 
 func main() {
 	if len(os.Args) < 2 {
 		fmt.Fprintln(os.Stderr, usage)
 		os.Exit(2)
 	}
-	if err := start(os.Args[1], os.Args[2:]); err != nil {
+	if err := runCommand(os.Args[1], os.Args[2:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// start runs the stand-in that the word names.
-func start(word string, args []string) error {
-	switch word {
+// runCommand runs the command of the given name.
+func runCommand(name string, args []string) error {
+	switch name {
 	case "platform":
-		return platform(args)
+		return runPlatform(args)
 	case "target":
-		return target(args)
+		return runTarget(args)
 	case "hosts":
-		return hosts(args)
+		return setHosts(args)
 	case "load":
-		return load(args)
+		return runLoad(args)
 	}
-	return fmt.Errorf("unknown stand-in %q; %s", word, usage)
+	return fmt.Errorf("unknown command %q; %s", name, usage)
 }
 
-func platform(args []string) error {
+func runPlatform(args []string) error {
 	flags := flag.NewFlagSet("platform", flag.ExitOnError)
-	listen := flags.String("listen", "127.0.0.1:7000", "the `address` to open")
-	path := flags.String("declarations", "", "a `file` to put in force at the start")
-	preset := flags.String("preset", string(declarer.Ordinary), "the preset in force at the start")
-	lag := flags.Duration("lag", 0, "how long a change of the host list stays unseen")
+	listen := flags.String("listen", "127.0.0.1:7000", "the `address` to listen on")
+	path := flags.String("declarations", "", "a `file` with the declarations that are active at the start")
+	preset := flags.String("preset", string(declarer.Ordinary), "the preset that is active at the start")
+	lag := flags.Duration("lag", 0, "the delay until a change of the host list becomes visible")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -77,10 +78,10 @@
 	return serve(*listen, p.Handler())
 }
 
-func target(args []string) error {
+func runTarget(args []string) error {
 	flags := flag.NewFlagSet("target", flag.ExitOnError)
-	listen := flags.String("listen", "127.0.0.1:7201", "the `address` to open")
-	slots := flags.Int("slots", 8, "the tasks that run together")
+	listen := flags.String("listen", "127.0.0.1:7201", "the `address` to listen on")
+	slots := flags.Int("slots", 8, "the maximum number of tasks that run at once")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -88,25 +89,25 @@
 }
 
 func serve(listen string, handler http.Handler) error {
-	s := &http.Server{Addr: listen, Handler: handler, ReadHeaderTimeout: headerTimeout}
+	s := &http.Server{Addr: listen, Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	return s.ListenAndServe()
 }
 
-// hosts writes one zone's list of hosts to the stand-in platform.
-func hosts(args []string) error {
+// setHosts sets the host list of a zone in the stand-in platform.
+func setHosts(args []string) error {
 	flags := flag.NewFlagSet("hosts", flag.ExitOnError)
-	address := flags.String("platform", "127.0.0.1:7000", "the platform's `address`")
-	zone := flags.String("zone", "", "the zone whose list is written")
-	service := flags.String("service", "despacho", "the service that the targets run")
-	targets := flags.String("targets", "", "the targets' `addresses`, with commas")
-	entries := flags.String("entries", "", "the entry hosts' `addresses`, with commas")
-	leaving := flags.String("leaving", "", "the `addresses` of leaving targets, with commas")
+	address := flags.String("platform", "127.0.0.1:7000", "the `address` of the platform")
+	zone := flags.String("zone", "", "the zone whose host list is set")
+	service := flags.String("service", "despacho", "the service of the targets")
+	targets := flags.String("targets", "", "the `addresses` of the targets, separated by commas")
+	entries := flags.String("entries", "", "the `addresses` of the entry hosts, separated by commas")
+	leaving := flags.String("leaving", "", "the `addresses` of the leaving targets, separated by commas")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	d := scheduler.Directory{Zone: *zone}
-	d.Hosts = append(d.Hosts, entriesOf(*targets, scheduler.Target, *service, *leaving)...)
-	d.Hosts = append(d.Hosts, entriesOf(*entries, scheduler.Entry, "", "")...)
+	d.Hosts = append(d.Hosts, hostList(*targets, scheduler.Target, *service, *leaving)...)
+	d.Hosts = append(d.Hosts, hostList(*entries, scheduler.Entry, "", "")...)
 	body, err := json.Marshal(d)
 	if err != nil {
 		return err
@@ -122,7 +123,7 @@
 	return response.Body.Close()
 }
 
-func entriesOf(addresses string, role scheduler.Role, service, leaving string) []scheduler.Host {
+func hostList(addresses string, role scheduler.Role, service, leaving string) []scheduler.Host {
 	var list []scheduler.Host
 	for address := range strings.SplitSeq(addresses, ",") {
 		if address == "" {
