--- a/.ci/tally/main.go
+++ b/.ci/tally/main.go
@@ -1,5 +1,6 @@
-// Command tally reads the output of "go test -json", prints what failed and
-// ends with a count. Tests that the -known file lists may fail; they are printed.
+// Command tally reads the output of "go test -json" and prints the output of the tests
+// and packages that failed, followed by the numbers of tests that passed, failed and
+// were skipped. Tests that the -known file lists may fail; their names are printed.
 package main
 
 import (
@@ -14,10 +15,10 @@
 	"strings"
 )
 
-// maxLine bounds a line of test output in bytes.
-const maxLine = 16 << 20
+// maxLineBytes is the maximum length of an input line.
+const maxLineBytes = 16 << 20
 
-// event is a line of go test -json.
+// event is a line of the output of "go test -json".
 type event struct {
 	Action  string
 	Package string
@@ -25,56 +26,57 @@
 	Output  string
 }
 
-// verdict is the state of one test or package.
-type verdict struct {
+// testResult is the output of a test or package.
+type testResult struct {
 	name   string
 	output strings.Builder
 }
 
-// tally counts what ended how.
-type tally struct {
-	known    []string
-	open     map[string][]string // tests that have not ended, by package
-	running  map[string]*verdict
-	passed   int
-	skipped  int
-	failed   int
-	red      int
-	packages int
+// summary counts the results of the tests and packages.
+type summary struct {
+	knownFailures  []string
+	unfinished     map[string][]string // running tests, by package
+	results        map[string]*testResult
+	passed         int
+	skipped        int
+	failed         int
+	knownFailed    int
+	failedPackages int
 }
 
 func main() {
-	path := flag.String("known", "", "the `file` whose lines \"test NAME\" name tests that may fail")
+	path := flag.String("known", "", "the `file` that lists the tests that may fail, in lines \"test NAME\"")
 	flag.Parse()
-	known, err := readKnown(*path)
+	known, err := readKnownFailures(*path)
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	t := &tally{running: make(map[string]*verdict), open: make(map[string][]string), known: known}
+	t := &summary{results: make(map[string]*testResult), unfinished: make(map[string][]string), knownFailures: known}
 	lines := bufio.NewScanner(os.Stdin)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var e event
-		if json.Unmarshal(lines.Bytes(), &e) == nil { // other lines are the compiler's
-			t.take(e)
+		if json.Unmarshal(lines.Bytes(), &e) == nil { // other lines are compiler output
+			t.handleEvent(e)
 		}
 	}
 	if err := lines.Err(); err != nil {
 		fmt.Println("the tests' output cannot be read:", err)
 		os.Exit(1)
 	}
-	if t.red > 0 {
-		fmt.Printf("known red: %d\n", t.red)
+	if t.knownFailed > 0 {
+		fmt.Printf("known red: %d\n", t.knownFailed)
 	}
-	fmt.Printf("%d passed, %d failed, %d skipped\n", t.passed, t.failed+t.packages, t.skipped)
-	if t.failed+t.packages > 0 || t.passed == 0 {
+	fmt.Printf("%d passed, %d failed, %d skipped\n", t.passed, t.failed+t.failedPackages, t.skipped)
+	if t.failed+t.failedPackages > 0 || t.passed == 0 {
 		os.Exit(1)
 	}
 }
 
-// readKnown returns the tests that the file lists, none when there is no file.
-func readKnown(path string) ([]string, error) {
+// readKnownFailures returns the names of the tests that the file lists, none if the
+// file does not exist.
+func readKnownFailures(path string) ([]string, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -91,23 +93,23 @@
 	return names, nil
 }
 
-// take counts one event.
-func (t *tally) take(e event) {
+// handleEvent records the output or counts the result of a test or package.
+func (t *summary) handleEvent(e event) {
 	key := e.Package + " " + e.Test
-	v := t.running[key]
-	if v == nil {
-		v = &verdict{name: e.Test}
-		t.running[key] = v
+	result := t.results[key]
+	if result == nil {
+		result = &testResult{name: e.Test}
+		t.results[key] = result
 	}
 	switch e.Action {
 	case "run":
-		t.open[e.Package] = append(t.open[e.Package], e.Test)
+		t.unfinished[e.Package] = append(t.unfinished[e.Package], e.Test)
 	case "pass", "skip", "fail":
-		t.open[e.Package] = slices.DeleteFunc(t.open[e.Package], func(name string) bool { return name == e.Test })
+		t.unfinished[e.Package] = slices.DeleteFunc(t.unfinished[e.Package], func(name string) bool { return name == e.Test })
 	}
 	switch e.Action {
 	case "output", "build-output":
-		v.output.WriteString(e.Output)
+		result.output.WriteString(e.Output)
 	case "pass":
 		if e.Test != "" {
 			t.passed++
@@ -117,33 +119,36 @@
 			t.skipped++
 		}
 	case "fail", "build-fail":
-		t.fail(e, v)
+		t.reportFailure(e, result)
 	}
 }
 
-// fail prints a failure and counts it. A package fails with its tests, so it
-// counts by itself only when none of them failed, or when it ended before they did.
-func (t *tally) fail(e event, v *verdict) {
-	cut := t.open[e.Package]
+// reportFailure prints and counts a failure. A package fails when one of its tests
+// fails, so a failed package counts only if none of its tests failed, or if it ended
+// while tests were running.
+func (t *summary) reportFailure(e event, result *testResult) {
+	unfinished := t.unfinished[e.Package]
 	switch {
-	case e.Test == "" && len(cut) > 0:
-		t.packages++
-		fmt.Printf("FAIL %s ended during %s\n", e.Package, strings.Join(cut, ", "))
-	case e.Test == "" && t.explained(e.Package):
+	case e.Test == "" && len(unfinished) > 0:
+		t.failedPackages++
+		fmt.Printf("FAIL %s ended during %s\n", e.Package, strings.Join(unfinished, ", "))
+	case e.Test == "" && t.hasFailedTest(e.Package):
 		return
 	case e.Test == "":
-		t.packages++
-	case slices.Contains(t.known, e.Test):
-		t.red++
+		t.failedPackages++
+	case slices.Contains(t.knownFailures, e.Test):
+		t.knownFailed++
 		fmt.Printf("KNOWN RED %s %s\n", e.Package, e.Test)
-		t.running[e.Package+" failed"] = v
+		t.results[e.Package+" failed"] = result
 		return
 	default:
 		t.failed++
-		t.running[e.Package+" failed"] = v
+		t.results[e.Package+" failed"] = result
 	}
-	fmt.Printf("FAIL %s %s\n%s", e.Package, e.Test, v.output.String())
+	fmt.Printf("FAIL %s %s\n%s", e.Package, e.Test, result.output.String())
 }
 
-// explained reports whether a test of the package has failed.
-func (t *tally) explained(name string) bool { return t.running[name+" failed"] != nil }
+// hasFailedTest reports whether a test of the package has failed.
+func (t *summary) hasFailedTest(packageName string) bool {
+	return t.results[packageName+" failed"] != nil
+}
