--- a/internal/bencher/back.go
+++ b/internal/bencher/back.go
@@ -14,7 +14,7 @@
 			return b
 		}
 	}
-	panic("no target " + name)
+	panic("unknown target " + name)
 }
 
 // sendTask sends a task to its target.
@@ -33,7 +33,7 @@
 			return uint64(i)<<ticketKeyShift | number
 		}
 	}
-	panic("no node " + n.Name)
+	panic("unknown host " + n.Name)
 }
 
 // ticketKeyShift is the number of bits of a key that hold the ticket number.
--- a/internal/bencher/policy_test.go
+++ b/internal/bencher/policy_test.go
@@ -33,7 +33,7 @@
 	return []site{{"restrepo", Restrepo(), 4}, {"kutchwala", Kutchwala(), 10}}
 }
 
-func TestModerateLoadMeetsTargets(t *testing.T) {
+func TestModerateLoadIsServedWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
 		f := Honest(s.place, s.clients, 0.6, 1, testDuration)
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestSingleQueueMissesFloodTarget shows that the check of
+// TestSingleQueueExceedsFloodLimit shows that the check of
 // TestFloodBarelySlowsSmallClient detects an unfair policy: a single queue for all
 // clients exceeds the limit.
-func TestSingleQueueMissesFloodTarget(t *testing.T) {
+func TestSingleQueueExceedsFloodLimit(t *testing.T) {
 	t.Parallel()
 	p := Restrepo()
 	for _, v := range Variants() {
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -70,8 +70,8 @@
 	queue            holder.Heap[*scheduledEvent]
 	sequence         uint64
 	lastRequest      uint64
-	directoryVersion uint64
-	submissionsByKey map[uint64]submissionRef
+	directoryVersion uint64                   // newest version of any host list
+	submissionsByKey map[uint64]submissionRef // by the key of a ticket or of a request
 }
 
 // scheduledEvent is an action at a moment in virtual time. Events of the same moment
