--- a/cmd/shallotrouter/node.go
+++ b/cmd/shallotrouter/node.go
@@ -51,7 +51,7 @@
 	for _, s := range settings.Settings {
 		log.Info("setting", "section", s.Section, "key", s.Key, "value", s.Value, "origin", s.Origin())
 	}
-	n := &assembler.Node{Settings: settings, Clock: clocker.NewBoot(clockwork.NewRealClock()), Log: log, Meter: metrics}
+	n := &assembler.Node{Settings: settings, Clock: clocker.NewBootClock(clockwork.NewRealClock()), Log: log, Meter: metrics}
 	n.Init()
 	shutDownOnSignals(n)
 	checker := &settingsChecker{path: path, signals: make(chan os.Signal, 1)}
--- a/internal/assembler/node.go
+++ b/internal/assembler/node.go
@@ -85,12 +85,12 @@
 	links.Run(ctx)
 	d.Links = links
 	d.Targets = &platform.Targets{
-		Clock: n.Clock, Log: n.Log, Sink: d, Dial: settings.Dial, Unacked: settings.Unacked, Connections: settings.Connections, Observe: n.Meter.Order,
-		Limiter: &limiter.Limiter{Clock: n.Clock, AtOnce: settings.Bounds.MaxOrders, Span: settings.Bounds.OrderWindow},
+		Clock: n.Clock, Log: n.Log, Sink: d, DialTimeout: settings.Dial, UnackedTimeout: settings.Unacked, MaxConnections: settings.Connections, Observe: n.Meter.Order,
+		Limiter: &limiter.Limiter{Clock: n.Clock, MaxConcurrent: settings.Bounds.MaxOrders, SlotTimeout: settings.Bounds.OrderWindow},
 	}
 	registry := n.newRegistrar(self, d)
 	d.Store = registry
-	frontend := &platform.Front{Host: d, Log: n.Log}
+	frontend := &platform.Frontend{Host: d, Log: n.Log}
 	servers, err := n.openServers(frontend, links, d)
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 		Self: self, Sink: sink, Clock: n.Clock, Log: n.Log,
 		Random: rand.New(rand.NewPCG(uint64(self.Incarnation), xxhash.Sum64String(self.Address))),
 		Table: &platform.Store{
-			Address: settings.Store, Log: n.Log, HTTP: platform.NewClient(settings.Dial, settings.Unacked),
+			Address: settings.Store, Log: n.Log, Client: platform.NewStoreClient(settings.Dial, settings.Unacked),
 			Observe: func(call, result string) { n.Meter.StoreCalls.WithLabelValues(call, result).Inc() },
 		},
 	}
@@ -120,7 +120,7 @@
 
 // openServers listens at the host's addresses: for clients, for readiness probes, for links
 // and, if set, for metrics.
-func (n *Node) openServers(frontend *platform.Front, links *linker.Linker, host stateSource) ([]*httpServer, error) {
+func (n *Node) openServers(frontend *platform.Frontend, links *linker.Linker, host stateSource) ([]*httpServer, error) {
 	settings := n.Settings
 	metrics := promhttp.HandlerFor(n.Meter.Registry, promhttp.HandlerOpts{})
 	state := &stateHandler{host: host, log: n.Log}
@@ -132,7 +132,7 @@
 		address string
 		key     string
 		handler http.Handler
-	}{{settings.Clients, "clients", frontend.Handler()}, {settings.Probe, "probe", frontend.Ready()}, {settings.Links, "links", peerMux}}
+	}{{settings.Clients, "clients", frontend.ClientHandler()}, {settings.Probe, "probe", frontend.ReadinessHandler()}, {settings.Links, "links", peerMux}}
 	if settings.Metrics != "" {
 		metricsMux := http.NewServeMux()
 		metricsMux.Handle("GET /metrics", metrics)
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -229,7 +229,7 @@
 // Run advances virtual time by the given duration and runs the actions that are due.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
-	for w.queue.Len() > 0 && !w.queue.Top().at.After(end) {
+	for w.queue.Len() > 0 && !w.queue.Peek().at.After(end) {
 		e := w.queue.Pop()
 		w.now = e.at
 		e.action()
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -27,8 +27,8 @@
 	// minSamples is the number of samples that the thresholds require. Fewer samples are
 	// biased towards short run times because short tasks end first.
 	minSamples = 400
-	// maxLevel is the highest level of Surprise. The fraction of tasks that reach level
-	// k is exp(-k).
+	// maxLevel is the highest level of SurpriseLevel. The fraction of tasks that reach
+	// level k is exp(-k).
 	maxLevel = 7
 	// minRunTimeMillis and maxRunTimeMillis limit the recorded run times.
 	minRunTimeMillis = 1
@@ -48,13 +48,13 @@
 	samples     int
 	meanSeconds float64
 	histogram   *hdrhistogram.Histogram
-	// thresholds holds the run time above which each level of Surprise is reached, from
-	// level 1 up to the highest known level.
+	// thresholds holds the run time above which each level of SurpriseLevel is reached,
+	// from level 1 up to the highest known level.
 	thresholds []time.Duration
 }
 
-// Learn records a measured run time of a kind.
-func (e *Estimator) Learn(name string, elapsed time.Duration) {
+// Record records a measured run time of a kind.
+func (e *Estimator) Record(name string, elapsed time.Duration) {
 	k := e.kindOf(name)
 	if k == nil {
 		k = e.addKind(name)
@@ -88,10 +88,10 @@
 	}
 }
 
-// Surprise returns how unusual it is for a task of the kind to run for at least the
+// SurpriseLevel returns how unusual it is for a task of the kind to run for at least the
 // elapsed time, as a level: about exp(-level) of the tasks do. It returns 0 while there
 // are too few samples.
-func (e *Estimator) Surprise(name string, elapsed time.Duration) int {
+func (e *Estimator) SurpriseLevel(name string, elapsed time.Duration) int {
 	k := e.kindOf(name)
 	if k == nil {
 		return 0
@@ -107,10 +107,10 @@
 // times.
 const histogramTolerance = 10 * time.Millisecond
 
-// Mean returns the expected run time of a kind: the learned mean, combined with the
+// ExpectedRunTime returns the expected run time of a kind: the learned mean, combined with the
 // declared run time while there are few samples. A declared time of 0 means that none was
 // declared.
-func (e *Estimator) Mean(name string, declared time.Duration) time.Duration {
+func (e *Estimator) ExpectedRunTime(name string, declared time.Duration) time.Duration {
 	if declared <= 0 {
 		declared = defaultRunTime
 	}
--- a/internal/holder/heap.go
+++ b/internal/holder/heap.go
@@ -5,10 +5,10 @@
 // Item is an element of a Heap that stores its own index.
 type Item interface {
 	comparable
-	// Place returns the index that SetPlace stored.
-	Place() int
-	// SetPlace stores the index; the heap sets -1 when it removes the item.
-	SetPlace(index int)
+	// HeapIndex returns the index that SetHeapIndex stored.
+	HeapIndex() int
+	// SetHeapIndex stores the index; the heap sets -1 when it removes the item.
+	SetHeapIndex(index int)
 }
 
 // Heap is a priority queue whose items can be reordered and removed in O(log n).
@@ -29,26 +29,26 @@
 	heap.Push(&h.queue, item)
 }
 
-// Top returns the least item without removing it. It panics on an empty heap.
-func (h *Heap[T]) Top() T { return h.queue.items[0] }
+// Peek returns the least item without removing it. It panics on an empty heap.
+func (h *Heap[T]) Peek() T { return h.queue.items[0] }
 
 // Pop removes and returns the least item. It panics on an empty heap.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.queue).(T) }
 
 // Fix restores the heap order after the item's priority changed. The item must be in the
 // heap.
-func (h *Heap[T]) Fix(item T) { heap.Fix(&h.queue, item.Place()) }
+func (h *Heap[T]) Fix(item T) { heap.Fix(&h.queue, item.HeapIndex()) }
 
 // Remove removes the item. It does nothing if the item is not in the heap.
 func (h *Heap[T]) Remove(item T) {
 	if h.Has(item) {
-		heap.Remove(&h.queue, item.Place())
+		heap.Remove(&h.queue, item.HeapIndex())
 	}
 }
 
 // Has reports whether the item is in this heap.
 func (h *Heap[T]) Has(item T) bool {
-	i := item.Place()
+	i := item.HeapIndex()
 	return i >= 0 && i < len(h.queue.items) && h.queue.items[i] == item
 }
 
@@ -67,13 +67,13 @@
 
 func (h *itemHeap[T]) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].SetPlace(i)
-	h.items[j].SetPlace(j)
+	h.items[i].SetHeapIndex(i)
+	h.items[j].SetHeapIndex(j)
 }
 
 func (h *itemHeap[T]) Push(x any) {
 	item := x.(T)
-	item.SetPlace(len(h.items))
+	item.SetHeapIndex(len(h.items))
 	h.items = append(h.items, item)
 }
 
@@ -83,7 +83,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	item.SetPlace(-1)
+	item.SetHeapIndex(-1)
 	return item
 }
 
@@ -92,8 +92,8 @@
 // index.
 type Index struct{ index int }
 
-// Place returns the stored index.
-func (x *Index) Place() int { return x.index }
+// HeapIndex returns the stored index.
+func (x *Index) HeapIndex() int { return x.index }
 
-// SetPlace stores the index.
-func (x *Index) SetPlace(index int) { x.index = index }
+// SetHeapIndex stores the index.
+func (x *Index) SetHeapIndex(index int) { x.index = index }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -12,23 +12,23 @@
 // must be set before use. It is safe for concurrent use.
 type Limiter struct {
 	Clock clockwork.Clock
-	// AtOnce is the maximum number of concurrent calls.
-	AtOnce int
-	// Span is the maximum time that a call occupies its slot, so that unanswered calls free
+	// MaxConcurrent is the maximum number of concurrent calls.
+	MaxConcurrent int
+	// SlotTimeout is the maximum time that a call occupies its slot, so that unanswered calls free
 	// their slots for others before they end.
-	Span time.Duration
+	SlotTimeout time.Duration
 
 	initSlots sync.Once
 	slots     chan struct{}
 }
 
-// Begin waits for a free slot and occupies it. The returned function frees the slot when
+// Acquire waits for a free slot and occupies it. The returned function frees the slot when
 // the call ends; it may be called more than once.
-func (l *Limiter) Begin() (end func()) {
-	l.initSlots.Do(func() { l.slots = make(chan struct{}, l.AtOnce) })
+func (l *Limiter) Acquire() (end func()) {
+	l.initSlots.Do(func() { l.slots = make(chan struct{}, l.MaxConcurrent) })
 	l.slots <- struct{}{}
 	release := sync.OnceFunc(func() { <-l.slots })
-	timer := l.Clock.AfterFunc(l.Span, release)
+	timer := l.Clock.AfterFunc(l.SlotTimeout, release)
 	return func() {
 		timer.Stop()
 		release()
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -11,10 +11,10 @@
 
 const slotTimeout = 50 * time.Millisecond
 
-// TestConcurrentCallsAreLimited checks that no more than AtOnce of many calls run at the
-// same time.
+// TestConcurrentCallsAreLimited checks that no more than MaxConcurrent of many calls run
+// at the same time.
 func TestConcurrentCallsAreLimited(t *testing.T) {
-	l := &Limiter{Clock: clockwork.NewFakeClock(), AtOnce: 3, Span: slotTimeout}
+	l := &Limiter{Clock: clockwork.NewFakeClock(), MaxConcurrent: 3, SlotTimeout: slotTimeout}
 	var mutex sync.Mutex
 	current, peak := 0, 0
 	count := func(change int) {
@@ -24,10 +24,10 @@
 		peak = max(peak, current)
 	}
 	var group sync.WaitGroup
-	partners := make(chan struct{}, l.AtOnce) // makes calls overlap
-	for range 20 * l.AtOnce {
+	partners := make(chan struct{}, l.MaxConcurrent) // makes calls overlap
+	for range 20 * l.MaxConcurrent {
 		group.Go(func() {
-			defer l.Begin()()
+			defer l.Acquire()()
 			count(1)
 			defer count(-1)
 			select {
@@ -37,17 +37,17 @@
 		})
 	}
 	group.Wait()
-	assert.LessOrEqual(t, peak, l.AtOnce)
+	assert.LessOrEqual(t, peak, l.MaxConcurrent)
 }
 
-// TestSlowCallFreesItsSlotOnce checks that a call that takes longer than Span frees its
-// slot, and that its end does not free the slot of another call.
+// TestSlowCallFreesItsSlotOnce checks that a call that takes longer than SlotTimeout frees
+// its slot, and that its end does not free the slot of another call.
 func TestSlowCallFreesItsSlotOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	l := &Limiter{Clock: clock, AtOnce: 1, Span: slotTimeout}
-	endFirst := l.Begin()
+	l := &Limiter{Clock: clock, MaxConcurrent: 1, SlotTimeout: slotTimeout}
+	endFirst := l.Acquire()
 	began := make(chan func())
-	go func() { began <- l.Begin() }()
+	go func() { began <- l.Acquire() }()
 	select {
 	case <-began:
 		assert.Fail(t, "the second call began while the first one occupied the only slot")
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -83,9 +83,9 @@
 
 // taskMachine is the life cycle of a task. A finished task stays finished.
 var taskMachine = transitioner.Compile(taskWaiting,
-	transitioner.Rule[taskState, taskEvent]{Event: taskStart, Source: []taskState{taskWaiting}, Target: taskActive},
-	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Source: []taskState{taskActive}, Target: taskWaiting},
-	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Source: []taskState{taskActive, taskWaiting, taskDone}, Target: taskDone},
+	transitioner.Rule[taskState, taskEvent]{Event: taskStart, Sources: []taskState{taskWaiting}, Target: taskActive},
+	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Sources: []taskState{taskActive}, Target: taskWaiting},
+	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Sources: []taskState{taskActive, taskWaiting, taskDone}, Target: taskDone},
 )
 
 // transitionTask applies an event to a task's state and keeps the queue up to date. It reports
@@ -214,7 +214,7 @@
 		offeredAt: r.now, arrivedAt: r.now.Add(-o.Elapsed), deadline: r.now.Add(o.TimeLeft),
 		reoffered: o.Reoffered, previousZones: o.PreviousZones,
 	}
-	j.SetPlace(-1)
+	j.SetHeapIndex(-1)
 	for i := range j.tasks {
 		j.tasks[i].state, j.tasks[i].lastRun = taskWaiting, o.RunBase
 	}
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -88,10 +88,10 @@
 func (s *Scheduler) recordRunTime(j *job, t *target, e Finish) {
 	estimates := &j.flow.pool.estimates
 	kind := j.tasks[e.Task].kind
-	ratio := e.Elapsed.Seconds() / estimates.Mean(kind, e.Elapsed).Seconds()
-	s.recordSuccess(t, ratio, estimates.Surprise(kind, e.Elapsed))
+	ratio := e.Elapsed.Seconds() / estimates.ExpectedRunTime(kind, e.Elapsed).Seconds()
+	s.recordSuccess(t, ratio, estimates.SurpriseLevel(kind, e.Elapsed))
 	if t.suspicion < suspicionStep {
-		estimates.Learn(kind, e.Elapsed)
+		estimates.Record(kind, e.Elapsed)
 	}
 }
 
@@ -108,7 +108,7 @@
 // expireJobs aborts the jobs whose deadline has passed.
 func (s *Scheduler) expireJobs() {
 	for s.deadlines.Len() > 0 {
-		j := s.deadlines.Top().job
+		j := s.deadlines.Peek().job
 		if s.now.Before(j.deadline) {
 			return
 		}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -166,7 +166,7 @@
 		j.queue[i] = i
 		j.tasks[i].kind = spec.Kind
 		j.tasks[i].state = taskQueued
-		j.tasks[i].expected = p.estimates.Mean(spec.Kind, time.Duration(spec.Expect))
+		j.tasks[i].expected = p.estimates.ExpectedRunTime(spec.Kind, time.Duration(spec.Expect))
 		j.queuedWork += j.tasks[i].expected
 	}
 	slices.SortStableFunc(j.queue, func(a, b int) int {
--- a/internal/scheduler/lifecycle.go
+++ b/internal/scheduler/lifecycle.go
@@ -30,11 +30,11 @@
 )
 
 var phaseRules = []transitioner.Rule[Phase, phaseEvent]{
-	{Event: phaseServe, Source: []Phase{Starting}, Target: Serving},
-	{Event: phaseSuspend, Source: []Phase{Serving}, Target: Suspended},
-	{Event: phaseResume, Source: []Phase{Suspended}, Target: Serving},
-	{Event: phaseDrain, Source: []Phase{Starting, Serving, Suspended}, Target: Draining},
-	{Event: phaseHalt, Source: []Phase{Draining}, Target: Halted},
+	{Event: phaseServe, Sources: []Phase{Starting}, Target: Serving},
+	{Event: phaseSuspend, Sources: []Phase{Serving}, Target: Suspended},
+	{Event: phaseResume, Sources: []Phase{Suspended}, Target: Serving},
+	{Event: phaseDrain, Sources: []Phase{Starting, Serving, Suspended}, Target: Draining},
+	{Event: phaseHalt, Sources: []Phase{Draining}, Target: Halted},
 }
 
 // jobState is a state in the life cycle of a job. Only a waiting job can be
@@ -58,11 +58,11 @@
 )
 
 var jobMachine = transitioner.Compile(jobWaiting,
-	transitioner.Rule[jobState, jobEvent]{Event: jobBegin, Source: []jobState{jobWaiting, jobBegun}, Target: jobBegun},
-	transitioner.Rule[jobState, jobEvent]{Event: jobRequeue, Source: []jobState{jobBegun}, Target: jobWaiting},
-	transitioner.Rule[jobState, jobEvent]{Event: jobRefuse, Source: []jobState{jobWaiting}, Target: jobFinal},
-	transitioner.Rule[jobState, jobEvent]{Event: jobFail, Source: []jobState{jobBegun}, Target: jobFinal},
-	transitioner.Rule[jobState, jobEvent]{Event: jobComplete, Source: []jobState{jobBegun}, Target: jobFinal},
+	transitioner.Rule[jobState, jobEvent]{Event: jobBegin, Sources: []jobState{jobWaiting, jobBegun}, Target: jobBegun},
+	transitioner.Rule[jobState, jobEvent]{Event: jobRequeue, Sources: []jobState{jobBegun}, Target: jobWaiting},
+	transitioner.Rule[jobState, jobEvent]{Event: jobRefuse, Sources: []jobState{jobWaiting}, Target: jobFinal},
+	transitioner.Rule[jobState, jobEvent]{Event: jobFail, Sources: []jobState{jobBegun}, Target: jobFinal},
+	transitioner.Rule[jobState, jobEvent]{Event: jobComplete, Sources: []jobState{jobBegun}, Target: jobFinal},
 )
 
 // taskState is a state in the life cycle of a task. A task that may have started
@@ -88,11 +88,11 @@
 )
 
 var taskMachine = transitioner.Compile(taskQueued,
-	transitioner.Rule[taskState, taskEvent]{Event: taskSend, Source: []taskState{taskQueued}, Target: taskSent},
-	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Source: []taskState{taskSent}, Target: taskQueued},
-	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Source: []taskState{taskSent}, Target: taskDone},
-	transitioner.Rule[taskState, taskEvent]{Event: taskFail, Source: []taskState{taskSent}, Target: taskFailed},
-	transitioner.Rule[taskState, taskEvent]{Event: taskLose, Source: []taskState{taskSent}, Target: taskLost},
+	transitioner.Rule[taskState, taskEvent]{Event: taskSend, Sources: []taskState{taskQueued}, Target: taskSent},
+	transitioner.Rule[taskState, taskEvent]{Event: taskRequeue, Sources: []taskState{taskSent}, Target: taskQueued},
+	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Sources: []taskState{taskSent}, Target: taskDone},
+	transitioner.Rule[taskState, taskEvent]{Event: taskFail, Sources: []taskState{taskSent}, Target: taskFailed},
+	transitioner.Rule[taskState, taskEvent]{Event: taskLose, Sources: []taskState{taskSent}, Target: taskLost},
 )
 
 // State is a state in the life cycle of a target as one host sees it.
@@ -122,11 +122,11 @@
 )
 
 var targetRules = []transitioner.Rule[State, targetEvent]{
-	{Event: targetLeave, Source: []State{Live, Ejected, Trial}, Target: Departing},
-	{Event: targetReturn, Source: []State{Departing}, Target: Live},
-	{Event: targetEject, Source: []State{Live, Trial}, Target: Ejected},
-	{Event: targetStartTrial, Source: []State{Ejected}, Target: Trial},
-	{Event: targetRestore, Source: []State{Trial, Ejected}, Target: Live},
+	{Event: targetLeave, Sources: []State{Live, Ejected, Trial}, Target: Departing},
+	{Event: targetReturn, Sources: []State{Departing}, Target: Live},
+	{Event: targetEject, Sources: []State{Live, Trial}, Target: Ejected},
+	{Event: targetStartTrial, Sources: []State{Ejected}, Target: Trial},
+	{Event: targetRestore, Sources: []State{Trial, Ejected}, Target: Live},
 }
 
 // Presence is a state in the life cycle of a peer as one host sees it.
@@ -148,6 +148,6 @@
 )
 
 var peerRules = []transitioner.Rule[Presence, peerEvent]{
-	{Event: peerReport, Source: []Presence{Quiet}, Target: Present},
-	{Event: peerExpire, Source: []Presence{Present}, Target: Quiet},
+	{Event: peerReport, Sources: []Presence{Quiet}, Target: Present},
+	{Event: peerExpire, Sources: []Presence{Present}, Target: Quiet},
 }
--- a/internal/scheduler/peer.go
+++ b/internal/scheduler/peer.go
@@ -31,7 +31,7 @@
 			s.emit(Decide{Action: Mark, Target: report.Host, Reason: "too many peers; report left out"})
 			return
 		}
-		r = &peer{machine: transitioner.Build(Quiet, peerRules...)}
+		r = &peer{machine: transitioner.NewFSM(Quiet, peerRules...)}
 		s.peers[report.Host] = r
 	}
 	if report.Incarnation < r.report.Incarnation {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -39,7 +39,7 @@
 			p.quotaExhausted = true
 			break
 		}
-		f := p.active.Top()
+		f := p.active.Peek()
 		if s.exceedsLongShare(f, limit) {
 			deferred = append(deferred, p.active.Pop())
 			continue
@@ -63,7 +63,7 @@
 func (s *Scheduler) placeTrials(p *pool) {
 	for _, t := range p.targets {
 		if t.state() == Trial && t.ownTasks == 0 && p.active.Len() > 0 {
-			s.startTask(p.active.Top(), t)
+			s.startTask(p.active.Peek(), t)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // running long tasks already use the part of the slots that the preset allows.
 func (s *Scheduler) exceedsLongShare(f *flow, limit int) bool {
 	preset := s.config.Current()
-	j := f.jobs.Top()
+	j := f.jobs.Peek()
 	next := j.tasks[j.queue[len(j.queue)-1]]
 	if next.expected < preset.Long {
 		return false
@@ -135,7 +135,7 @@
 // would break an invariant.
 func (s *Scheduler) startTask(f *flow, t *target) bool {
 	p := f.pool
-	j := f.jobs.Top()
+	j := f.jobs.Peek()
 	last := len(j.queue) - 1
 	index := j.queue[last]
 	k := &j.tasks[index]
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -101,7 +101,7 @@
 // init creates the parts that the zero value lacks.
 func (s *Scheduler) init(now time.Time) {
 	s.now = now
-	s.phaseMachine = transitioner.Build(Starting, phaseRules...)
+	s.phaseMachine = transitioner.NewFSM(Starting, phaseRules...)
 	s.ledger.Life = s.Bounds.Life
 	s.jobs = make(map[uint64]*job)
 	s.pools = make(map[string]*pool)
@@ -235,7 +235,7 @@
 		}
 		for _, f := range p.flows {
 			for f.jobs.Len() > 0 {
-				s.abortJob(f.jobs.Top(), shallotrouter.Unknown, "the service is no longer declared; name a declared service", 0)
+				s.abortJob(f.jobs.Peek(), shallotrouter.Unknown, "the service is no longer declared; name a declared service", 0)
 			}
 		}
 		delete(s.pools, name)
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -63,7 +63,7 @@
 	maxRatio = 3
 	// ratioGain is the weight of one task in the smoothed run time ratio.
 	ratioGain = 0.1
-	// surpriseAllowance is subtracted from the surprise (estimator.Estimator.Surprise)
+	// surpriseAllowance is subtracted from the surprise (estimator.Estimator.SurpriseLevel)
 	// of each task. At a healthy target the mean surprise is below 1.
 	surpriseAllowance = 2
 	// ejectSuspicion is the sum of all hosts' suspicion at which a target is
@@ -100,7 +100,7 @@
 func newTarget(name string, p *pool) *target {
 	return &target{
 		name: name, pool: p, slots: p.service.Slots, runTimeRatio: 1,
-		machine: transitioner.Build(Live, targetRules...), currentState: Live,
+		machine: transitioner.NewFSM(Live, targetRules...), currentState: Live,
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 	t.inFlightSuspicion = 0
 	for _, f := range t.runs {
-		t.inFlightSuspicion += max(0, float64(t.pool.estimates.Surprise(f.kind, s.now.Sub(f.sentAt)))-surpriseAllowance)
+		t.inFlightSuspicion += max(0, float64(t.pool.estimates.SurpriseLevel(f.kind, s.now.Sub(f.sentAt)))-surpriseAllowance)
 	}
 	ownSuspicion := t.suspicion + t.inFlightSuspicion
 	if ownSuspicion >= suspicionStep && ownSuspicion+t.peerSuspicion >= ejectSuspicion+meanSuspicionFactor*t.pool.meanSuspicion() {
--- a/internal/transitioner/machine.go
+++ b/internal/transitioner/machine.go
@@ -16,26 +16,26 @@
 	event E
 }
 
-// Machine is a read-only transition table. It is safe for concurrent use.
-type Machine[S, E ~string] struct {
+// Table is a read-only transition table. It is safe for concurrent use.
+type Table[S, E ~string] struct {
 	next map[transition[S, E]]S
 }
 
 // Rule defines the transitions of an event from each of the source states to the target
 // state.
 type Rule[S, E ~string] struct {
-	Event  E
-	Source []S
-	Target S
+	Event   E
+	Sources []S
+	Target  S
 }
 
 // Compile builds an fsm.FSM from the rules, fires each event in each of its source states
 // and records the resulting states. It panics if the FSM rejects a transition.
-func Compile[S, E ~string](initial S, rules ...Rule[S, E]) *Machine[S, E] {
-	live := Build(initial, rules...)
-	compiled := &Machine[S, E]{next: make(map[transition[S, E]]S)}
+func Compile[S, E ~string](initial S, rules ...Rule[S, E]) *Table[S, E] {
+	live := NewFSM(initial, rules...)
+	compiled := &Table[S, E]{next: make(map[transition[S, E]]S)}
 	for _, r := range rules {
-		for _, source := range r.Source {
+		for _, source := range r.Sources {
 			live.SetState(string(source))
 			err := live.Event(context.Background(), string(r.Event))
 			if _, unchanged := err.(fsm.NoTransitionError); err != nil && !unchanged {
@@ -47,12 +47,12 @@
 	return compiled
 }
 
-// Build returns an fsm.FSM with the rules, for an object that has its own state machine.
-func Build[S, E ~string](initial S, rules ...Rule[S, E]) *fsm.FSM {
+// NewFSM returns an fsm.FSM with the rules, for an object that has its own state machine.
+func NewFSM[S, E ~string](initial S, rules ...Rule[S, E]) *fsm.FSM {
 	events := make(fsm.Events, 0, len(rules))
 	for _, r := range rules {
-		sources := make([]string, len(r.Source))
-		for i, s := range r.Source {
+		sources := make([]string, len(r.Sources))
+		for i, s := range r.Sources {
 			sources[i] = string(s)
 		}
 		events = append(events, fsm.EventDesc{Name: string(r.Event), Src: sources, Dst: string(r.Target)})
@@ -62,7 +62,7 @@
 
 // Next returns the state after the event. It reports false if the event is not allowed in
 // the state.
-func (m *Machine[S, E]) Next(state S, event E) (S, bool) {
+func (m *Table[S, E]) Next(state S, event E) (S, bool) {
 	next, ok := m.next[transition[S, E]{state, event}]
 	return next, ok
 }
--- a/internal/transitioner/machine_test.go
+++ b/internal/transitioner/machine_test.go
@@ -8,9 +8,9 @@
 )
 
 var testRules = []Rule[string, string]{
-	{Event: "send", Source: []string{"queued"}, Target: "sent"},
-	{Event: "return", Source: []string{"sent"}, Target: "queued"},
-	{Event: "finish", Source: []string{"sent", "done"}, Target: "done"},
+	{Event: "send", Sources: []string{"queued"}, Target: "sent"},
+	{Event: "return", Sources: []string{"sent"}, Target: "queued"},
+	{Event: "finish", Sources: []string{"sent", "done"}, Target: "done"},
 }
 
 func TestNextFollowsRules(t *testing.T) {
@@ -37,7 +37,7 @@
 		}
 	})
 	b.Run("shared", func(b *testing.B) {
-		m := Build("queued", testRules...)
+		m := NewFSM("queued", testRules...)
 		b.ReportAllocs()
 		for b.Loop() {
 			m.SetState("queued")
@@ -48,7 +48,7 @@
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m := Build("queued", testRules...)
+			m := NewFSM("queued", testRules...)
 			_ = m.Event(context.Background(), "send")
 			_ = m.Event(context.Background(), "finish")
 		}
