--- a/cmd/shallotctl/pools.go
+++ b/cmd/shallotctl/pools.go
@@ -15,8 +15,8 @@
 
 // poolsReport is the JSON output of the pools command.
 type poolsReport struct {
-	Hosts    []inspector.Sight `json:"hosts"`
-	Findings []string          `json:"findings"`
+	Hosts    []inspector.HostState `json:"hosts"`
+	Findings []string              `json:"findings"`
 }
 
 // runPools shows which hosts hold which leased targets. It fails if there are findings,
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithTimeout(ctx, *timeout)
 	defer cancel()
 	i := &inspector.Inspector{Hosts: strings.Split(*links, ","), HTTP: &http.Client{}}
-	report := poolsReport{Hosts: i.Look(ctx)}
+	report := poolsReport{Hosts: i.FetchAll(ctx)}
 	report.Findings = inspector.Findings(report.Hosts)
 	var err error
 	if *asJSON {
--- a/cmd/shallotmodel/main.go
+++ b/cmd/shallotmodel/main.go
@@ -67,7 +67,7 @@
 	if *ablate {
 		scenario.Ablate()
 	}
-	rows := scenario.Play(*jobs, func(done, all int) { fmt.Fprintf(errorOutput, "\r%d of %d simulations", done, all) })
+	rows := scenario.Run(*jobs, func(done, all int) { fmt.Fprintf(errorOutput, "\r%d of %d simulations", done, all) })
 	fmt.Fprintln(errorOutput)
 	writeRows := writeTable
 	if *ablate {
@@ -82,7 +82,7 @@
 
 // writeResults writes the rows with writeRows, and as JSON and plots if paths for them are
 // set.
-func writeResults(rows []modeler.Row, out io.Writer, writeRows func([]modeler.Row, io.Writer) error, jsonPath string, plots plotWriter) error {
+func writeResults(rows []modeler.PolicyResult, out io.Writer, writeRows func([]modeler.PolicyResult, io.Writer) error, jsonPath string, plots plotWriter) error {
 	if err := writeRows(rows, out); err != nil {
 		return err
 	}
@@ -103,25 +103,25 @@
 
 // writeAblation prints the benefit value of each policy and its difference from that of
 // the first policy.
-func writeAblation(rows []modeler.Row, out io.Writer) error {
+func writeAblation(rows []modeler.PolicyResult, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "POLICY\tLOAD\tWORTH\tWORST 2 S\tDIFFERENCE\t95 %")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%.2f\t%.4f\t%.4f\t%+.4f\t%.4f\n", r.Policy, r.Load, r.Worth, r.Worst, r.Gain, r.Margin)
+		fmt.Fprintf(w, "%s\t%.2f\t%.4f\t%.4f\t%+.4f\t%.4f\n", r.Policy, r.Load, r.Benefit, r.WorstBenefit, r.Gain, r.Margin)
 	}
 	return w.Flush()
 }
 
 // writeTable prints the benefit value of each policy at each load, and a line for each kind
 // of job.
-func writeTable(rows []modeler.Row, out io.Writer) error {
+func writeTable(rows []modeler.PolicyResult, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "POLICY\tLOAD\tWORTH\tWORST 2 S\tBOUND\tKIND\tASKED\tIN TIME\tLATE\tREFUSED\tFAILED\tWORTH\tP50\tP99")
 	for _, r := range rows {
-		rowPrefix := fmt.Sprintf("%s\t%.2f\t%.3f\t%.3f\t%.3f", r.Policy, r.Load, r.Worth, r.Worst, r.Bound)
+		rowPrefix := fmt.Sprintf("%s\t%.2f\t%.3f\t%.3f\t%.3f", r.Policy, r.Load, r.Benefit, r.WorstBenefit, r.MaxBenefit)
 		for _, name := range sortedKeys(r.Kinds) {
 			k := r.Kinds[name]
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\n", rowPrefix, name, k.Asked, k.InTime, k.Late, k.Refused, k.Failed, k.Worth,
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%v\n", rowPrefix, name, k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.Benefit,
 				k.P50.Round(time.Millisecond), k.P99.Round(time.Millisecond))
 			rowPrefix = strings.Repeat("\t", 4)
 		}
@@ -130,10 +130,10 @@
 }
 
 // reportViolations prints the violated invariants and returns the exit code.
-func reportViolations(rows []modeler.Row, errorOutput io.Writer) int {
+func reportViolations(rows []modeler.PolicyResult, errorOutput io.Writer) int {
 	code := 0
 	for _, r := range rows {
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			fmt.Fprintf(errorOutput, "%s at load %.2f: %s\n", r.Policy, r.Load, b)
 			code = exitFailed
 		}
--- a/cmd/shallotmodel/main_test.go
+++ b/cmd/shallotmodel/main_test.go
@@ -26,10 +26,10 @@
 	assert.Regexp(t, `zones +0\.60 +[01]\.\d+`, out.String())
 	data, err := os.ReadFile(jsonPath)
 	require.NoError(t, err)
-	var rows []modeler.Row
+	var rows []modeler.PolicyResult
 	require.NoError(t, json.Unmarshal(data, &rows))
 	require.Len(t, rows, 4)
-	assert.Positive(t, rows[0].Worth)
+	assert.Positive(t, rows[0].Benefit)
 	for _, name := range []string{"load", "time-0.40", "kinds-0.60", "zones-0.60"} {
 		data, err := os.ReadFile(filepath.Join(plotFolder, name+".svg"))
 		require.NoError(t, err)
--- a/cmd/shallotmodel/plot.go
+++ b/cmd/shallotmodel/plot.go
@@ -35,18 +35,18 @@
 
 // writeAll writes a plot of the benefit value (worth) against the load, and for each load
 // plots of the benefit value over time, by kind of job and by zone.
-func (p plotWriter) writeAll(rows []modeler.Row) error {
+func (p plotWriter) writeAll(rows []modeler.PolicyResult) error {
 	if err := os.MkdirAll(p.folder, 0o755); err != nil {
 		return err
 	}
 	pointsByPolicy := make(map[string]shape.XYs)
-	rowsByLoad := make(map[float64][]modeler.Row)
+	rowsByLoad := make(map[float64][]modeler.PolicyResult)
 	for _, r := range rows {
-		pointsByPolicy[r.Policy] = append(pointsByPolicy[r.Policy], shape.XY{X: r.Load, Y: r.Worth})
+		pointsByPolicy[r.Policy] = append(pointsByPolicy[r.Policy], shape.XY{X: r.Load, Y: r.Benefit})
 		rowsByLoad[r.Load] = append(rowsByLoad[r.Load], r)
 	}
 	for _, r := range rowsByLoad {
-		pointsByPolicy["bound"] = append(pointsByPolicy["bound"], shape.XY{X: r[0].Load, Y: r[0].Bound})
+		pointsByPolicy["bound"] = append(pointsByPolicy["bound"], shape.XY{X: r[0].Load, Y: r[0].MaxBenefit})
 	}
 	slices.SortFunc(pointsByPolicy["bound"], func(a, b shape.XY) int { return cmp.Compare(a.X, b.X) })
 	if len(rowsByLoad) > 1 {
@@ -63,17 +63,17 @@
 }
 
 // writeLoad writes the plots for one load.
-func (p plotWriter) writeLoad(load float64, rows []modeler.Row) error {
+func (p plotWriter) writeLoad(load float64, rows []modeler.PolicyResult) error {
 	pointsByPolicy := make(map[string]shape.XYs)
 	byKind, byZone := make(map[string]map[string]float64), make(map[string]map[string]float64)
 	for _, r := range rows {
-		for second, benefit := range r.Seconds {
+		for second, benefit := range r.BenefitBySecond {
 			pointsByPolicy[r.Policy] = append(pointsByPolicy[r.Policy], shape.XY{X: float64(second), Y: benefit})
 		}
-		byZone[r.Policy] = r.Zones
+		byZone[r.Policy] = r.BenefitByZone
 		byKind[r.Policy] = make(map[string]float64)
 		for name, k := range r.Kinds {
-			byKind[r.Policy][name] = k.Worth
+			byKind[r.Policy][name] = k.Benefit
 		}
 	}
 	if err := writeLineChart(pointsByPolicy, fmt.Sprintf("Worth by second at load %.2f", load), "seconds", p.path("time-%.2f", load)); err != nil {
--- a/cmd/shallotrouter/node.go
+++ b/cmd/shallotrouter/node.go
@@ -41,7 +41,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	metrics := meter.NewHost()
-	queue := &logger.Queue{Output: os.Stdout, Bound: settings.Buffer, Observe: metrics.Omitted.Inc}
+	queue := &logger.Queue{Output: os.Stdout, MaxBytes: settings.Buffer, OnDrop: metrics.Omitted.Inc}
 	queue.Init()
 	writerContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/examples/fleet/main.go
+++ b/examples/fleet/main.go
@@ -18,9 +18,9 @@
 // scenario is a row of the table, simulated with several seeds.
 type scenario struct {
 	name       string
-	simulation modeler.World
+	simulation modeler.Simulation
 	seeds      int
-	runs       []modeler.World
+	runs       []modeler.Simulation
 }
 
 func main() {
@@ -33,7 +33,7 @@
 	if *site == "kutchwala" {
 		base = modeler.Kutchwala()
 	}
-	base.Length = *duration
+	base.LoadDuration = *duration
 	var scenarios []*scenario
 	for loadText := range strings.SplitSeq(*loads, ",") {
 		load, err := strconv.ParseFloat(loadText, 64)
@@ -42,12 +42,12 @@
 			os.Exit(2)
 		}
 		simulation := base
-		simulation.Load = load
+		simulation.LoadFactor = load
 		scenarios = append(scenarios, &scenario{name: "load " + loadText, simulation: simulation, seeds: *seeds})
 	}
-	for _, fault := range []modeler.Trouble{modeler.FailTarget, modeler.HangTarget, modeler.SlowTarget} {
+	for _, fault := range []modeler.FaultKind{modeler.FailTarget, modeler.HangTarget, modeler.SlowTarget} {
 		simulation := base
-		simulation.Faults = []modeler.Fault{{Trouble: fault, At: 3 * time.Second, For: 8 * time.Second, Share: 1.0 / 7}}
+		simulation.Faults = []modeler.Fault{{Kind: fault, At: 3 * time.Second, Duration: 8 * time.Second, TargetShare: 1.0 / 7}}
 		scenarios = append(scenarios, &scenario{name: string(fault), simulation: simulation, seeds: *seeds})
 	}
 	var group sync.WaitGroup
@@ -62,7 +62,7 @@
 // run simulates the scenario with all its seeds.
 func (s *scenario) run(group *sync.WaitGroup) {
 	defer group.Done()
-	s.runs = make([]modeler.World, s.seeds)
+	s.runs = make([]modeler.Simulation, s.seeds)
 	for i := range s.runs {
 		s.runs[i] = s.simulation
 		s.runs[i].Seed = uint64(i) + 1
@@ -79,11 +79,11 @@
 		var sent, inTime, late, refused, failed, unknown, violations int
 		for i := range s.runs {
 			p := &s.runs[i]
-			benefit += p.Tally.Worth() / float64(len(s.runs))
-			worstBenefit += p.Tally.WorstSpan(2) / float64(len(s.runs))
-			violations += len(p.Broken)
-			for _, n := range p.Tally.Kinds {
-				sent, inTime, late = sent+n.Asked, inTime+n.InTime, late+n.Late
+			benefit += p.Results.BenefitRatio() / float64(len(s.runs))
+			worstBenefit += p.Results.WorstBenefitRatio(2) / float64(len(s.runs))
+			violations += len(p.Violations)
+			for _, n := range p.Results.Kinds {
+				sent, inTime, late = sent+n.Sent, inTime+n.InTime, late+n.Late
 				refused, failed, unknown = refused+n.Refused, failed+n.Failed, unknown+n.Unknown
 			}
 		}
@@ -103,8 +103,8 @@
 func (s *scenario) minLargeJobRatio() float64 {
 	sums := make(map[string]float64)
 	for i := range s.runs {
-		for name, n := range s.runs[i].Tally.Kinds {
-			sums[name] += n.Large() / float64(len(s.runs))
+		for name, n := range s.runs[i].Results.Kinds {
+			sums[name] += n.LargeJobRatio() / float64(len(s.runs))
 		}
 	}
 	minRatio := 1.0
@@ -118,8 +118,8 @@
 func (s *scenario) startsPerTask() float64 {
 	starts, tasks := 0, 0
 	for i := range s.runs {
-		starts += s.runs[i].Tally.Starts
-		tasks += s.runs[i].Tally.Tasks
+		starts += s.runs[i].Results.Starts
+		tasks += s.runs[i].Results.Tasks
 	}
 	return float64(starts) / float64(max(tasks, 1))
 }
--- a/internal/asker/asker.go
+++ b/internal/asker/asker.go
@@ -6,11 +6,12 @@
 	"sync"
 )
 
-// Asker queries one address. The answer contains the address if the caller needs it.
-type Asker[T any] func(ctx context.Context, address string) T
+// QueryFunc queries one address. The answer contains the address if the caller needs it.
+type QueryFunc[T any] func(ctx context.Context, address string) T
 
-// All queries all addresses in parallel and returns the answers in the order of the addresses.
-func (a Asker[T]) All(ctx context.Context, addresses []string) []T {
+// QueryAll queries all addresses in parallel and returns the answers in the order of the
+// addresses.
+func (a QueryFunc[T]) QueryAll(ctx context.Context, addresses []string) []T {
 	answers := make([]T, len(addresses))
 	var group sync.WaitGroup
 	for i, address := range addresses {
@@ -23,7 +24,7 @@
 
 // query is the query to one address.
 type query[T any] struct {
-	ask     Asker[T]
+	ask     QueryFunc[T]
 	address string
 	answer  *T
 }
--- a/internal/asker/asker_test.go
+++ b/internal/asker/asker_test.go
@@ -11,13 +11,13 @@
 // answers keep the order of the addresses.
 func TestAllQueriesInParallel(t *testing.T) {
 	both := make(chan string)
-	ask := Asker[string](func(_ context.Context, address string) string {
+	ask := QueryFunc[string](func(_ context.Context, address string) string {
 		if address == "a" {
 			both <- address
 			return "from a"
 		}
 		return "after " + <-both
 	})
-	assert.Equal(t, []string{"from a", "after a"}, ask.All(t.Context(), []string{"a", "b"}))
-	assert.Empty(t, ask.All(t.Context(), nil))
+	assert.Equal(t, []string{"from a", "after a"}, ask.QueryAll(t.Context(), []string{"a", "b"}))
+	assert.Empty(t, ask.QueryAll(t.Context(), nil))
 }
--- a/internal/assembler/daemon.go
+++ b/internal/assembler/daemon.go
@@ -198,19 +198,19 @@
 		Clock: d.Clock, Log: d.Log, Meter: d.meter, Seeds: settings.Peers,
 		Throttle: logger.NewThrottle(d.Log, settings.Lines),
 	}
-	r.Throttle.Observe = d.meter.Omitted.Inc
+	r.Throttle.OnOmit = d.meter.Omitted.Inc
 	r.Init()
 	r.Dispatcher = &dispatcher.Dispatcher{
 		Clock: d.Clock, Sink: r, Identity: fmt.Sprintf("%s/%x", settings.Name, incarnation),
 		Dial: settings.Dial, Unacked: settings.Unacked, MaxResult: settings.Result,
 	}
 	r.Reporter = &reporter.Reporter{
-		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.Secret, TLS: keys.Client(), Seed: incarnation, Observe: d.meter.Report,
+		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.Secret, TLS: keys.Client(), Seed: incarnation, Observe: d.meter.CountReport,
 		Self: reporter.Hello{Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation},
 	}
 	r.Follower = &follower.Follower{
 		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(settings.Platform, settings.Timeout), Zone: settings.Zone, Sink: r,
-		Every: settings.Poll, Slowest: settings.PollSlowest, Random: seed, Observe: d.meter.Poll,
+		Every: settings.Poll, Slowest: settings.PollSlowest, Random: seed, Observe: d.meter.CountPoll,
 	}
 	r.Follower.Init()
 	d.runner = r
--- a/internal/assembler/node.go
+++ b/internal/assembler/node.go
@@ -79,13 +79,13 @@
 		Router: &router.Router{Self: self, Bounds: settings.Bounds, Seeds: settings.Seeds},
 		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, settings.Lines),
 	}
-	d.Throttle.Observe = n.Meter.Omitted.Inc
+	d.Throttle.OnOmit = n.Meter.Omitted.Inc
 	d.Init()
-	links := &linker.Linker{Self: settings.Links, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.Link}
+	links := &linker.Linker{Self: settings.Links, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.CountMessage}
 	links.Run(ctx)
 	d.Links = links
 	d.Targets = &platform.Targets{
-		Clock: n.Clock, Log: n.Log, Sink: d, DialTimeout: settings.Dial, UnackedTimeout: settings.Unacked, MaxConnections: settings.Connections, Observe: n.Meter.Order,
+		Clock: n.Clock, Log: n.Log, Sink: d, DialTimeout: settings.Dial, UnackedTimeout: settings.Unacked, MaxConnections: settings.Connections, Observe: n.Meter.RecordOrder,
 		Limiter: &limiter.Limiter{Clock: n.Clock, MaxConcurrent: settings.Bounds.MaxOrders, SlotTimeout: settings.Bounds.OrderWindow},
 	}
 	registry := n.newRegistrar(self, d)
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -130,7 +130,7 @@
 		d.viewUpdatedAt = now
 		v := d.Router.View()
 		d.view.Store(&v)
-		d.Meter.Show(v)
+		d.Meter.SetGauges(v)
 	}
 	halted := false
 	for _, effect := range effects {
@@ -261,7 +261,7 @@
 	select {
 	case e := <-waiter:
 		v := e.(router.Answer).Verdict
-		d.Meter.Response.WithLabelValues(job.Route, string(v.Outcome)).Observe(d.Clock.Since(startedAt).Seconds())
+		d.Meter.ResponseTime.WithLabelValues(job.Route, string(v.Outcome)).Observe(d.Clock.Since(startedAt).Seconds())
 		return v, nil
 	case <-d.done:
 		return router.Verdict{ID: job.ID, Outcome: router.Unknown, Reason: router.Stopping}, nil
--- a/internal/explainer/cause.go
+++ b/internal/explainer/cause.go
@@ -128,7 +128,7 @@
 // addRelatedEvidence adds related lines with one of the actions as evidence.
 func (s *Story) addRelatedEvidence(actions ...string) {
 	count := 0
-	for _, l := range s.Around {
+	for _, l := range s.RelatedLines {
 		for _, action := range actions {
 			if l.Action == action && count < maxRelatedEvidence {
 				s.Evidence = append(s.Evidence, l.String())
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -50,11 +50,11 @@
 	Job string `json:"job"`
 	// Lines are the lines of the job, oldest first.
 	Lines []Line `json:"-"`
-	// Around lists the changes of holders, peers, targets and the store that may have
+	// RelatedLines lists the changes of holders, peers, targets and the store that may have
 	// affected the job while it was open.
-	Around  []Line `json:"-"`
-	Outcome string `json:"outcome"`
-	Reason  string `json:"reason,omitempty"`
+	RelatedLines []Line `json:"-"`
+	Outcome      string `json:"outcome"`
+	Reason       string `json:"reason,omitempty"`
 	// Cause is a sentence that gives the reason for the outcome, and Evidence lists the
 	// lines that show it.
 	Cause    string   `json:"cause"`
@@ -127,7 +127,7 @@
 			continue
 		}
 		if involved[l.text("target")] || involved[l.text("peer")] || involved[l.text("holder")] || involved[l.text("before")] || involved[l.Host] && l.text("target") == "" {
-			s.Around = append(s.Around, l)
+			s.RelatedLines = append(s.RelatedLines, l)
 		}
 	}
 	s.explainOutcome()
@@ -168,9 +168,9 @@
 	for _, l := range s.Lines {
 		fmt.Fprintln(w, " ", l)
 	}
-	if len(s.Around) > 0 {
+	if len(s.RelatedLines) > 0 {
 		fmt.Fprintln(w, "\nchanges around it")
-		for _, l := range s.Around {
+		for _, l := range s.RelatedLines {
 			fmt.Fprintln(w, " ", l)
 		}
 	}
--- a/internal/inspector/finding.go
+++ b/internal/inspector/finding.go
@@ -17,7 +17,7 @@
 
 // Findings returns a sentence for each fault that the states of the hosts show, or none if
 // there is no fault.
-func Findings(sights []Sight) []string {
+func Findings(sights []HostState) []string {
 	var findings []string
 	var states []*router.State
 	for _, s := range sights {
--- a/internal/inspector/finding_test.go
+++ b/internal/inspector/finding_test.go
@@ -10,7 +10,7 @@
 )
 
 // healthyHosts returns the states of two hosts that agree; the first host holds the zone.
-func healthyHosts() []Sight {
+func healthyHosts() []HostState {
 	state := func(name, peer string) *router.State {
 		return &router.State{
 			Host: name, Zone: "north", Slot: 1, Config: 4, DirectoryAge: 300 * time.Millisecond,
@@ -18,44 +18,44 @@
 			Cells: []router.CellState{{Zone: "north", Holder: "a", Reachable: true}},
 		}
 	}
-	return []Sight{{Address: "10.0.0.1:1", State: state("a", "b")}, {Address: "10.0.0.2:1", State: state("b", "a")}}
+	return []HostState{{Address: "10.0.0.1:1", State: state("a", "b")}, {Address: "10.0.0.2:1", State: state("b", "a")}}
 }
 
 // TestFindingsReportEachFaultOnce checks that each fault gives one finding, which names the
 // hosts that reported it.
 func TestFindingsReportEachFaultOnce(t *testing.T) {
 	for _, c := range []struct {
-		modify func(hosts []Sight)
+		modify func(hosts []HostState)
 		want   []string
 	}{
-		{func([]Sight) {}, nil},
-		{func(hosts []Sight) { hosts[1] = Sight{Address: "10.0.0.2:1", Problem: "refused"} }, []string{"10.0.0.2:1 does not answer: refused"}},
-		{func(hosts []Sight) { hosts[1].State.Slot = 0 }, []string{"b is not registered in the store yet"}},
-		{func(hosts []Sight) { hosts[0].State.Peers[0].Reachable = false }, []string{"a does not reach b"}},
-		{func(hosts []Sight) {
+		{func([]HostState) {}, nil},
+		{func(hosts []HostState) { hosts[1] = HostState{Address: "10.0.0.2:1", Problem: "refused"} }, []string{"10.0.0.2:1 does not answer: refused"}},
+		{func(hosts []HostState) { hosts[1].State.Slot = 0 }, []string{"b is not registered in the store yet"}},
+		{func(hosts []HostState) { hosts[0].State.Peers[0].Reachable = false }, []string{"a does not reach b"}},
+		{func(hosts []HostState) {
 			hosts[0].State.Peers[0] = router.PeerState{Host: "b", Leaving: true}
 		}, nil},
 		{
-			func(hosts []Sight) { hosts[1].State.Config = 3 },
+			func(hosts []HostState) { hosts[1].State.Config = 3 },
 			[]string{"hosts do not agree on the configuration: version 3 at b; version 4 at a"},
 		},
 		{
-			func(hosts []Sight) { hosts[1].State.Cells[0].Holder = "b" },
+			func(hosts []HostState) { hosts[1].State.Cells[0].Holder = "b" },
 			[]string{"hosts do not agree on the holder of zone north: a at a; b at b"},
 		},
 		{
-			func(hosts []Sight) {
+			func(hosts []HostState) {
 				hosts[1].State.Cells[0] = router.CellState{Zone: "north", Absent: 900 * time.Millisecond}
 			},
 			[]string{"b has had no holder for zone north for 900ms"},
 		},
 		{
-			func(hosts []Sight) { hosts[0].State.DirectoryAge = 3 * time.Second },
+			func(hosts []HostState) { hosts[0].State.DirectoryAge = 3 * time.Second },
 			[]string{"a has not read the directory of the targets that it holds for 3s; check the store"},
 		},
-		{func(hosts []Sight) { hosts[1].State.DirectoryAge = 3 * time.Second }, nil},
+		{func(hosts []HostState) { hosts[1].State.DirectoryAge = 3 * time.Second }, nil},
 		{
-			func(hosts []Sight) { hosts[0].State.DirectoryAge = -1 },
+			func(hosts []HostState) { hosts[0].State.DirectoryAge = -1 },
 			[]string{"a uses the directory of another host for the targets that it holds, and has never read it itself; check the store"},
 		},
 	} {
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -23,25 +23,25 @@
 	HTTP *http.Client
 }
 
-// Sight is the state of one host, or the problem that prevented its request.
-type Sight struct {
+// HostState is the state of one host, or the problem that prevented its request.
+type HostState struct {
 	Address string        `json:"address"`
 	State   *router.State `json:"state,omitempty"`
 	Problem string        `json:"problem,omitempty"`
 }
 
-// Look requests the states of all hosts in parallel and returns them in the order of Hosts.
-func (i *Inspector) Look(ctx context.Context) []Sight {
-	return asker.Asker[Sight](i.inspect).All(ctx, i.Hosts)
+// FetchAll requests the states of all hosts in parallel and returns them in the order of Hosts.
+func (i *Inspector) FetchAll(ctx context.Context) []HostState {
+	return asker.QueryFunc[HostState](i.inspect).QueryAll(ctx, i.Hosts)
 }
 
 // inspect requests the state of one host.
-func (i *Inspector) inspect(ctx context.Context, host string) Sight {
+func (i *Inspector) inspect(ctx context.Context, host string) HostState {
 	state, err := i.fetch(ctx, host)
 	if err != nil {
-		return Sight{Address: host, Problem: err.Error()}
+		return HostState{Address: host, Problem: err.Error()}
 	}
-	return Sight{Address: host, State: state}
+	return HostState{Address: host, State: state}
 }
 
 func (i *Inspector) fetch(ctx context.Context, host string) (*router.State, error) {
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -21,17 +21,17 @@
 type Throttle struct {
 	// Log receives the lines.
 	Log logr.Logger
-	// Limit is the rate limit of the lines.
-	Limit *rate.Limiter
-	// Observe is called for each line that is left out. It may be nil.
-	Observe func()
+	// Limiter is the rate limit of the lines.
+	Limiter *rate.Limiter
+	// OnOmit is called for each line that is left out. It may be nil.
+	OnOmit func()
 
 	omitted atomic.Int64
 }
 
 // NewThrottle returns a Throttle that writes up to a number of lines per second.
 func NewThrottle(log logr.Logger, lines int) *Throttle {
-	return &Throttle{Log: log, Limit: rate.NewLimiter(rate.Limit(lines), lines)}
+	return &Throttle{Log: log, Limiter: rate.NewLimiter(rate.Limit(lines), lines)}
 }
 
 // infoShare is the share of the rate limit that is reserved for Info, since refusals and
@@ -41,7 +41,7 @@
 
 // Routine writes a line as Info does, unless the rest of the rate limit is reserved for Info.
 func (t *Throttle) Routine(now time.Time, message string, pairs ...any) {
-	if t.Limit.TokensAt(now) < infoShare*float64(t.Limit.Burst()) {
+	if t.Limiter.TokensAt(now) < infoShare*float64(t.Limiter.Burst()) {
 		t.omit()
 		return
 	}
@@ -50,15 +50,15 @@
 
 func (t *Throttle) omit() {
 	t.omitted.Add(1)
-	if t.Observe != nil {
-		t.Observe()
+	if t.OnOmit != nil {
+		t.OnOmit()
 	}
 }
 
 // Info writes a line, or counts it as left out when the rate limit is reached. Before the next
 // line it logs the number of lines that were left out.
 func (t *Throttle) Info(now time.Time, message string, pairs ...any) {
-	if !t.Limit.AllowN(now, 1) {
+	if !t.Limiter.AllowN(now, 1) {
 		t.omit()
 		return
 	}
--- a/internal/logger/logger_test.go
+++ b/internal/logger/logger_test.go
@@ -17,7 +17,7 @@
 	var out bytes.Buffer
 	omitted := 0
 	x := NewThrottle(New(&out, 0), 10)
-	x.Observe = func() { omitted++ }
+	x.OnOmit = func() { omitted++ }
 	now := time.Unix(1000, 0)
 	for range 1000 {
 		x.Info(now, "decision", "act", "place")
--- a/internal/logger/queue.go
+++ b/internal/logger/queue.go
@@ -12,10 +12,10 @@
 type Queue struct {
 	// Output receives the bytes.
 	Output io.Writer
-	// Bound is the maximum number of buffered bytes.
-	Bound int
-	// Observe is called for each write that is dropped. It may be nil.
-	Observe func()
+	// MaxBytes is the maximum number of buffered bytes.
+	MaxBytes int
+	// OnDrop is called for each write that is dropped. It may be nil.
+	OnDrop func()
 
 	mutex    sync.Mutex
 	buffered []byte
@@ -29,15 +29,15 @@
 // Write buffers the bytes for the output. It always reports success.
 func (q *Queue) Write(data []byte) (int, error) {
 	q.mutex.Lock()
-	fits := len(q.buffered)+len(data) <= q.Bound
+	fits := len(q.buffered)+len(data) <= q.MaxBytes
 	if fits {
 		q.buffered = append(q.buffered, data...)
 	}
 	q.mutex.Unlock()
 	if !fits {
 		q.dropped.Add(1)
-		if q.Observe != nil {
-			q.Observe()
+		if q.OnDrop != nil {
+			q.OnDrop()
 		}
 	}
 	select {
@@ -47,8 +47,8 @@
 	return len(data), nil
 }
 
-// Left returns the number of dropped writes.
-func (q *Queue) Left() int64 { return q.dropped.Load() }
+// Dropped returns the number of dropped writes.
+func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
 // Run writes buffered bytes to the output until the context is done, and then a last time.
 func (q *Queue) Run(ctx context.Context) {
--- a/internal/meter/host.go
+++ b/internal/meter/host.go
@@ -15,60 +15,60 @@
 	// Registry holds the metrics that /metrics shows.
 	Registry *prometheus.Registry
 
-	Answers    *prometheus.CounterVec   // final answers to clients, by outcome and reason
-	Response   *prometheus.HistogramVec // seconds from arrival to the answer, by route and outcome
-	Stages     *prometheus.HistogramVec // seconds that a job spends in a stage, by route and stage
-	Decisions  *prometheus.CounterVec   // decisions of the router, by action
-	Orders     *prometheus.CounterVec   // answers of targets to orders, by order and result
-	OrderTime  *prometheus.HistogramVec // seconds from an order to its answer, by order
-	Messages   *prometheus.CounterVec   // messages between hosts, by direction and kind
-	Bytes      *prometheus.CounterVec   // encoded bytes of messages, by direction and kind
-	StoreCalls *prometheus.CounterVec   // calls to the store, by call and result
-	Violations *prometheus.CounterVec   // violations of invariants, by invariant
-	Omitted    prometheus.Counter       // log lines left out
-	Steps      prometheus.Histogram     // seconds per step of the router
+	Answers      *prometheus.CounterVec   // final answers to clients, by outcome and reason
+	ResponseTime *prometheus.HistogramVec // seconds from arrival to the answer, by route and outcome
+	Stages       *prometheus.HistogramVec // seconds that a job spends in a stage, by route and stage
+	Decisions    *prometheus.CounterVec   // decisions of the router, by action
+	Orders       *prometheus.CounterVec   // answers of targets to orders, by order and result
+	OrderTime    *prometheus.HistogramVec // seconds from an order to its answer, by order
+	Messages     *prometheus.CounterVec   // messages between hosts, by direction and kind
+	Bytes        *prometheus.CounterVec   // encoded bytes of messages, by direction and kind
+	StoreCalls   *prometheus.CounterVec   // calls to the store, by call and result
+	Violations   *prometheus.CounterVec   // violations of invariants, by invariant
+	Omitted      prometheus.Counter       // log lines left out
+	Steps        prometheus.Histogram     // seconds per step of the router
 
-	Waiting   prometheus.Gauge // waiting tasks of the held cells
-	Running   prometheus.Gauge // runs at targets of the held cells
-	Open      prometheus.Gauge // jobs of this host's clients without an answer
-	Held      prometheus.Gauge // held cells
-	Members   prometheus.Gauge // reachable hosts, including this one
-	Version   prometheus.Gauge // version of the current configuration
-	Directory prometheus.Gauge // seconds since this host read the directory
-	Margin    prometheus.Gauge // shortest time until a lease with runs expires, in seconds
+	WaitingTasks  prometheus.Gauge // waiting tasks of the held cells
+	RunningTasks  prometheus.Gauge // runs at targets of the held cells
+	OpenJobs      prometheus.Gauge // jobs of this host's clients without an answer
+	HeldCells     prometheus.Gauge // held cells
+	Members       prometheus.Gauge // reachable hosts, including this one
+	ConfigVersion prometheus.Gauge // version of the current configuration
+	DirectoryAge  prometheus.Gauge // seconds since this host read the directory
+	LeaseMargin   prometheus.Gauge // shortest time until a lease with runs expires, in seconds
 }
 
 // NewHost returns a Host with its own registry.
 func NewHost() *Host {
 	h := &Host{
-		Registry:   prometheus.NewRegistry(),
-		Answers:    counters("answers_total", "Final answers to clients.", "outcome", "reason"),
-		Response:   histograms("answer_seconds", "Time from a job's arrival to its answer.", "route", "outcome"),
-		Stages:     histograms("stage_seconds", "Time that a job spends in a stage.", "route", "stage"),
-		Decisions:  counters("decisions_total", "Decisions of the router.", "action"),
-		Orders:     counters("orders_total", "Answers of targets to orders.", "order", "result"),
-		OrderTime:  histograms("order_seconds", "Time from an order to the answer of the target.", "order"),
-		Messages:   counters("link_messages_total", "Messages between entry hosts.", "direction", "kind"),
-		Bytes:      counters("link_bytes_total", "Encoded bytes of messages between entry hosts.", "direction", "kind"),
-		StoreCalls: counters("store_calls_total", "Calls to the platform's store.", "call", "result"),
-		Violations: counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
-		Omitted:    counter("log_lines_omitted_total", "Log lines left out to limit the log rate."),
-		Waiting:    gauge("waiting_tasks", "Tasks of the held cells that wait for capacity."),
-		Running:    gauge("running_tasks", "Runs at the targets of the held cells."),
-		Open:       gauge("open_jobs", "Jobs of this host's clients without an answer."),
-		Held:       gauge("held_cells", "Availability zones whose targets this host holds."),
-		Members:    gauge("members", "Reachable entry hosts, including this one."),
-		Version:    gauge("config_version", "Version of the current configuration."),
-		Directory:  gauge("directory_age_seconds", "Time since this host read the directory of targets."),
-		Margin:     gauge("lease_margin_seconds", "Shortest time until a lease with runs expires."),
+		Registry:      prometheus.NewRegistry(),
+		Answers:       counters("answers_total", "Final answers to clients.", "outcome", "reason"),
+		ResponseTime:  histograms("answer_seconds", "Time from a job's arrival to its answer.", "route", "outcome"),
+		Stages:        histograms("stage_seconds", "Time that a job spends in a stage.", "route", "stage"),
+		Decisions:     counters("decisions_total", "Decisions of the router.", "action"),
+		Orders:        counters("orders_total", "Answers of targets to orders.", "order", "result"),
+		OrderTime:     histograms("order_seconds", "Time from an order to the answer of the target.", "order"),
+		Messages:      counters("link_messages_total", "Messages between entry hosts.", "direction", "kind"),
+		Bytes:         counters("link_bytes_total", "Encoded bytes of messages between entry hosts.", "direction", "kind"),
+		StoreCalls:    counters("store_calls_total", "Calls to the platform's store.", "call", "result"),
+		Violations:    counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
+		Omitted:       counter("log_lines_omitted_total", "Log lines left out to limit the log rate."),
+		WaitingTasks:  gauge("waiting_tasks", "Tasks of the held cells that wait for capacity."),
+		RunningTasks:  gauge("running_tasks", "Runs at the targets of the held cells."),
+		OpenJobs:      gauge("open_jobs", "Jobs of this host's clients without an answer."),
+		HeldCells:     gauge("held_cells", "Availability zones whose targets this host holds."),
+		Members:       gauge("members", "Reachable entry hosts, including this one."),
+		ConfigVersion: gauge("config_version", "Version of the current configuration."),
+		DirectoryAge:  gauge("directory_age_seconds", "Time since this host read the directory of targets."),
+		LeaseMargin:   gauge("lease_margin_seconds", "Shortest time until a lease with runs expires."),
 	}
 	h.Steps = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "step_seconds", Help: "Time of one step of the router.",
 		Buckets: prometheus.ExponentialBuckets(firstStepSeconds, 4, bucketCount),
 	})
 	h.Registry.MustRegister(
-		h.Answers, h.Response, h.Stages, h.Decisions, h.Orders, h.OrderTime, h.Messages, h.Bytes, h.StoreCalls, h.Violations, h.Omitted, h.Steps,
-		h.Waiting, h.Running, h.Open, h.Held, h.Members, h.Version, h.Directory, h.Margin,
+		h.Answers, h.ResponseTime, h.Stages, h.Decisions, h.Orders, h.OrderTime, h.Messages, h.Bytes, h.StoreCalls, h.Violations, h.Omitted, h.Steps,
+		h.WaitingTasks, h.RunningTasks, h.OpenJobs, h.HeldCells, h.Members, h.ConfigVersion, h.DirectoryAge, h.LeaseMargin,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return h
@@ -80,28 +80,28 @@
 	}, labels)
 }
 
-// Show sets the gauges from the state of the router.
-func (h *Host) Show(v router.View) {
-	h.Waiting.Set(float64(v.Waiting))
-	h.Running.Set(float64(v.Running))
-	h.Open.Set(float64(v.Open))
-	h.Held.Set(float64(v.HeldCells))
+// SetGauges sets the gauges from the state of the router.
+func (h *Host) SetGauges(v router.View) {
+	h.WaitingTasks.Set(float64(v.Waiting))
+	h.RunningTasks.Set(float64(v.Running))
+	h.OpenJobs.Set(float64(v.Open))
+	h.HeldCells.Set(float64(v.HeldCells))
 	h.Members.Set(float64(v.Members))
-	h.Directory.Set(v.DirectoryAge.Seconds())
-	h.Margin.Set(v.LeaseMargin.Seconds())
+	h.DirectoryAge.Set(v.DirectoryAge.Seconds())
+	h.LeaseMargin.Set(v.LeaseMargin.Seconds())
 	if v.Config != nil {
-		h.Version.Set(float64(v.Config.Version))
+		h.ConfigVersion.Set(float64(v.Config.Version))
 	}
 }
 
-// Order counts the answer to an order and records its duration.
-func (h *Host) Order(order, result string, duration time.Duration) {
+// RecordOrder counts the answer to an order and records its duration.
+func (h *Host) RecordOrder(order, result string, duration time.Duration) {
 	h.Orders.WithLabelValues(order, result).Inc()
 	h.OrderTime.WithLabelValues(order).Observe(duration.Seconds())
 }
 
-// Link counts a message to or from another host and its encoded bytes.
-func (h *Host) Link(direction, kind string, bytes int) {
+// CountMessage counts a message to or from another host and its encoded bytes.
+func (h *Host) CountMessage(direction, kind string, bytes int) {
 	h.Messages.WithLabelValues(direction, kind).Inc()
 	h.Bytes.WithLabelValues(direction, kind).Add(float64(bytes))
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -15,40 +15,40 @@
 	// Registry holds the metrics that /metrics shows.
 	Registry *prometheus.Registry
 
-	Jobs       *prometheus.CounterVec   // final answers, by client, outcome and reason
-	Response   *prometheus.HistogramVec // seconds from admission to the answer, by outcome
-	Starts     prometheus.Counter       // tasks sent to targets
-	Ends       *prometheus.CounterVec   // ends of starts, by result
-	Messages   *prometheus.CounterVec   // control messages, by cause
-	Bytes      prometheus.Counter       // bytes of reports sent to peers
-	Polls      *prometheus.CounterVec   // reads of the platform, by result
-	Violations *prometheus.CounterVec   // violations of invariants, by invariant
-	Omitted    prometheus.Counter       // log lines left out
-	Waiting    prometheus.Gauge         // waiting tasks
-	Open       prometheus.Gauge         // jobs without an answer
-	Version    prometheus.Gauge         // version of the current configuration
-	Age        prometheus.Gauge         // seconds since the last read of the platform, or -1 before the first read
-	Steps      prometheus.Histogram     // seconds per step of the scheduler
+	Jobs          *prometheus.CounterVec   // final answers, by client, outcome and reason
+	ResponseTime  *prometheus.HistogramVec // seconds from admission to the answer, by outcome
+	Starts        prometheus.Counter       // tasks sent to targets
+	Ends          *prometheus.CounterVec   // ends of starts, by result
+	Messages      *prometheus.CounterVec   // control messages, by cause
+	Bytes         prometheus.Counter       // bytes of reports sent to peers
+	Polls         *prometheus.CounterVec   // reads of the platform, by result
+	Violations    *prometheus.CounterVec   // violations of invariants, by invariant
+	Omitted       prometheus.Counter       // log lines left out
+	WaitingTasks  prometheus.Gauge         // waiting tasks
+	OpenJobs      prometheus.Gauge         // jobs without an answer
+	ConfigVersion prometheus.Gauge         // version of the current configuration
+	PlatformAge   prometheus.Gauge         // seconds since the last read of the platform, or -1 before the first read
+	Steps         prometheus.Histogram     // seconds per step of the scheduler
 }
 
 // New returns a Meter with its own registry.
 func New() *Meter {
 	m := &Meter{
-		Registry:   prometheus.NewRegistry(),
-		Jobs:       counters("jobs_total", "Final answers.", "client", "outcome", "reason"),
-		Starts:     counter("starts_total", "Tasks sent to targets."),
-		Ends:       counters("ends_total", "Ends of starts by result.", "result"),
-		Messages:   counters("control_messages_total", "Control messages beyond one request and one answer per task.", "cause"),
-		Bytes:      counter("report_bytes_total", "Bytes of reports sent to peers."),
-		Polls:      counters("polls_total", "Reads of the platform.", "result"),
-		Violations: counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
-		Omitted:    counter("log_lines_omitted_total", "Decision lines left out to limit the log rate."),
-		Waiting:    gauge("waiting_tasks", "Tasks that wait for a slot."),
-		Open:       gauge("open_jobs", "Jobs without a final answer."),
-		Version:    gauge("config_version", "Version of the current configuration."),
-		Age:        gauge("platform_age_seconds", "Time since the last read of the platform; -1 before the first read."),
+		Registry:      prometheus.NewRegistry(),
+		Jobs:          counters("jobs_total", "Final answers.", "client", "outcome", "reason"),
+		Starts:        counter("starts_total", "Tasks sent to targets."),
+		Ends:          counters("ends_total", "Ends of starts by result.", "result"),
+		Messages:      counters("control_messages_total", "Control messages beyond one request and one answer per task.", "cause"),
+		Bytes:         counter("report_bytes_total", "Bytes of reports sent to peers."),
+		Polls:         counters("polls_total", "Reads of the platform.", "result"),
+		Violations:    counters("violations_total", "Violations of invariants; each is a defect.", "invariant"),
+		Omitted:       counter("log_lines_omitted_total", "Decision lines left out to limit the log rate."),
+		WaitingTasks:  gauge("waiting_tasks", "Tasks that wait for a slot."),
+		OpenJobs:      gauge("open_jobs", "Jobs without a final answer."),
+		ConfigVersion: gauge("config_version", "Version of the current configuration."),
+		PlatformAge:   gauge("platform_age_seconds", "Time since the last read of the platform; -1 before the first read."),
 	}
-	m.Response = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.ResponseTime = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "response_seconds", Help: "Time from admission to the answer.",
 		Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, 2, bucketCount),
 	}, []string{"outcome"})
@@ -57,8 +57,8 @@
 		Buckets: prometheus.ExponentialBuckets(firstStepSeconds, 4, bucketCount),
 	})
 	m.Registry.MustRegister(
-		m.Jobs, m.Response, m.Starts, m.Ends, m.Messages, m.Bytes, m.Polls, m.Violations, m.Omitted,
-		m.Waiting, m.Open, m.Version, m.Age, m.Steps,
+		m.Jobs, m.ResponseTime, m.Starts, m.Ends, m.Messages, m.Bytes, m.Polls, m.Violations, m.Omitted,
+		m.WaitingTasks, m.OpenJobs, m.ConfigVersion, m.PlatformAge, m.Steps,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return m
@@ -83,13 +83,13 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-// Effect counts one effect of the scheduler.
-func (m *Meter) Effect(e scheduler.Effect) {
+// CountEffect counts one effect of the scheduler.
+func (m *Meter) CountEffect(e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.Start:
 		m.Starts.Inc()
 	case scheduler.Reply:
-		m.Response.WithLabelValues(string(e.Answer.Outcome)).Observe(time.Duration(e.Answer.Elapsed).Seconds())
+		m.ResponseTime.WithLabelValues(string(e.Answer.Outcome)).Observe(time.Duration(e.Answer.Elapsed).Seconds())
 	case scheduler.Decide:
 		if e.Action == scheduler.Finalize {
 			m.Jobs.WithLabelValues(e.Client, string(e.Outcome), e.Reason).Inc()
@@ -99,24 +99,24 @@
 	}
 }
 
-// Finish counts the end of a start. If the task was not started, its request and answer count
+// CountEnd counts the end of a start. If the task was not started, its request and answer count
 // as two control messages.
-func (m *Meter) Finish(result scheduler.Result) {
+func (m *Meter) CountEnd(result scheduler.Result) {
 	m.Ends.WithLabelValues(string(result)).Inc()
 	if !result.Started() {
 		m.Messages.WithLabelValues(string(result)).Add(2)
 	}
 }
 
-// Report counts a report to a peer and its bytes.
-func (m *Meter) Report(bytes int) {
+// CountReport counts a report to a peer and its bytes.
+func (m *Meter) CountReport(bytes int) {
 	m.Messages.WithLabelValues("report").Inc()
 	m.Bytes.Add(float64(bytes))
 }
 
-// Poll counts a poll of the platform, which consists of four messages: it reads the row and the
-// host list.
-func (m *Meter) Poll(failed bool) {
+// CountPoll counts a poll of the platform, which consists of four messages: it reads the row
+// and the host list.
+func (m *Meter) CountPoll(failed bool) {
 	m.Messages.WithLabelValues("poll").Add(4)
 	result := "ok"
 	if failed {
--- a/internal/modeler/chaos_test.go
+++ b/internal/modeler/chaos_test.go
@@ -14,62 +14,62 @@
 )
 
 var (
-	worldCount = flag.Int("worlds", 30, "number of random simulations to run")
-	firstSeed  = flag.Uint64("first", 1, "seed of the first random simulation")
+	simulationCount = flag.Int("worlds", 30, "number of random simulations to run")
+	firstSeed       = flag.Uint64("first", 1, "seed of the first random simulation")
 )
 
 // randomFaults are the faults that randomWorld draws from.
 var randomFaults = []Fault{
-	{Trouble: Kill, Where: "holder"},
-	{Trouble: Kill},
-	{Trouble: Freeze, Where: "holder"},
-	{Trouble: Freeze},
-	{Trouble: Restart, Where: "holder"},
-	{Trouble: Restart},
-	{Trouble: CutHost, Where: "holder"},
-	{Trouble: CutHost},
-	{Trouble: CutStore, Where: "holder"},
-	{Trouble: CutStore},
-	{Trouble: CutZone},
-	{Trouble: StoreDown},
-	{Trouble: StoreSlow},
-	{Trouble: StoreLost},
-	{Trouble: KillTarget, Share: 0.2},
-	{Trouble: FailTarget, Share: 0.2},
-	{Trouble: HangTarget, Share: 0.2},
-	{Trouble: SlowTarget, Share: 0.2},
-	{Trouble: Drain, Share: 0.2},
-	{Trouble: KillAll},
-	{Trouble: Surge, Times: 2},
+	{Kind: KillHost, Selector: "holder"},
+	{Kind: KillHost},
+	{Kind: PauseHost, Selector: "holder"},
+	{Kind: PauseHost},
+	{Kind: RestartHost, Selector: "holder"},
+	{Kind: RestartHost},
+	{Kind: PartitionHost, Selector: "holder"},
+	{Kind: PartitionHost},
+	{Kind: PartitionStore, Selector: "holder"},
+	{Kind: PartitionStore},
+	{Kind: PartitionZone},
+	{Kind: StoreUnavailable},
+	{Kind: StoreSlow},
+	{Kind: StoreAnswersLost},
+	{Kind: KillTarget, TargetShare: 0.2},
+	{Kind: FailTarget, TargetShare: 0.2},
+	{Kind: HangTarget, TargetShare: 0.2},
+	{Kind: SlowTarget, TargetShare: 0.2},
+	{Kind: DrainTarget, TargetShare: 0.2},
+	{Kind: KillAllHosts},
+	{Kind: Burst, RateFactor: 2},
 }
 
-// randomWorld draws a small deployment with two to five faults.
-func randomWorld(seed uint64) *World {
+// randomSimulation draws a small deployment with two to five faults.
+func randomSimulation(seed uint64) *Simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
-	w := testWorld(0.25, 9*time.Second)
-	w.Seed = seed
-	w.Layout.Hosts = 1 + random.IntN(3)
-	w.Layout.Targets = 4
+	sim := testSimulation(0.25, 9*time.Second)
+	sim.Seed = seed
+	sim.Size.HostsPerZone = 1 + random.IntN(3)
+	sim.Size.TargetsPerZone = 4
 	if random.IntN(3) == 0 {
-		w.Lost = 0.05
+		sim.LateOrderShare = 0.05
 	}
 	if random.IntN(4) == 0 {
-		w.Bounds.MaxSharedTargets = 6 // one holder per zone
+		sim.Bounds.MaxSharedTargets = 6 // one holder per zone
 	}
 	if seed%7 == 3 {
-		w.Mute = 0.05
+		sim.LostAnswerShare = 0.05
 	}
 	if seed%3 == 1 {
-		w.Bounds.FullMeshHosts = 1 // only the holder and its successors monitor all other hosts
-		w.Layout.Hosts += 2
+		sim.Bounds.FullMeshHosts = 1 // only the holder and its successors monitor all other hosts
+		sim.Size.HostsPerZone += 2
 	}
 	for range 2 + random.IntN(4) {
 		f := randomFaults[random.IntN(len(randomFaults))]
 		f.At = time.Duration(random.Int64N(int64(7 * time.Second)))
-		f.For = 300*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second)))
-		w.Faults = append(w.Faults, f)
+		f.Duration = 300*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second)))
+		sim.Faults = append(sim.Faults, f)
 	}
-	return w
+	return sim
 }
 
 // TestInvariantsHoldUnderRandomFaults checks the invariants under random faults: a task has
@@ -78,13 +78,13 @@
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	var group sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // parallel simulations
-	for seed := *firstSeed; seed < *firstSeed+uint64(*worldCount); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*simulationCount); seed++ {
 		slots <- struct{}{}
 		group.Go(func() {
-			w := randomWorld(seed)
-			w.Run()
-			if !assert.Empty(t, w.Broken, "seed %d, %+v, share of orders executed late %v, share of answers lost %v, targets under one holder %d, hosts in a full mesh %d, hosts per zone %d", seed, w.Faults, w.Lost, w.Mute, w.Bounds.MaxSharedTargets, w.Bounds.FullMeshHosts, w.Layout.Hosts) {
-				logResults(t, w)
+			sim := randomSimulation(seed)
+			sim.Run()
+			if !assert.Empty(t, sim.Violations, "seed %d, %+v, share of orders executed late %v, share of answers lost %v, targets under one holder %d, hosts in a full mesh %d, hosts per zone %d", seed, sim.Faults, sim.LateOrderShare, sim.LostAnswerShare, sim.Bounds.MaxSharedTargets, sim.Bounds.FullMeshHosts, sim.Size.HostsPerZone) {
+				logResults(t, sim)
 			}
 			<-slots
 		})
@@ -104,9 +104,9 @@
 		500289: "a job was started again although it might run in the zone of another holder, whose targets were not listed",
 		201094: "a dropped job that was sent again was started while its previous run was still stopping",
 	} {
-		w := randomWorld(seed)
-		w.Run()
-		assert.Empty(t, w.Broken, "seed %d: %s", seed, cause)
+		sim := randomSimulation(seed)
+		sim.Run()
+		assert.Empty(t, sim.Violations, "seed %d: %s", seed, cause)
 	}
 }
 
@@ -115,11 +115,11 @@
 func TestSameSeedRepeatsSimulation(t *testing.T) {
 	var trace [2][]string
 	for i := range trace {
-		w := randomWorld(5)
-		w.Trace = func(at time.Duration, host string, e router.Decision) {
+		sim := randomSimulation(5)
+		sim.Trace = func(at time.Duration, host string, e router.Decision) {
 			trace[i] = append(trace[i], at.String()+host+e.Action+e.Job+e.Task+e.Target)
 		}
-		w.Run()
+		sim.Run()
 	}
 	assert.Equal(t, trace[0], trace[1])
 }
--- a/internal/modeler/fault.go
+++ b/internal/modeler/fault.go
@@ -6,88 +6,88 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// Trouble is a kind of fault that a simulation injects.
-type Trouble string
+// FaultKind is a kind of fault that a simulation injects.
+type FaultKind string
 
-// The kinds of fault. Fault.Where selects what they affect: for faults of hosts the name
+// The kinds of fault. Fault.Selector says what they affect: for faults of hosts the name
 // of a host, "holder" for the host that holds the most cells, or anything else for a random
-// host; for CutZone a zone, or "" for a random zone; for Surge a kind of job, or "" for all
-// kinds. Faults of targets affect a random Share of the targets.
+// host; for PartitionZone a zone, or "" for a random zone; for Burst a kind of job, or "" for all
+// kinds. Faults of targets affect a random TargetShare of the targets.
 const (
-	Kill       Trouble = "kill"         // the process of a host ends and starts again
-	Freeze     Trouble = "freeze"       // the process of a host is paused
-	Restart    Trouble = "restart"      // a host shuts down gracefully and starts again
-	CutHost    Trouble = "cut-host"     // a host cannot reach other hosts
-	CutStore   Trouble = "cut-store"    // a host cannot reach the store
-	CutZone    Trouble = "cut-zone"     // a zone cannot reach the other zones and the store
-	StoreDown  Trouble = "store-down"   // the store does not answer
-	StoreSlow  Trouble = "store-slow"   // calls take 50 times as long
-	StoreLost  Trouble = "store-lost"   // writes take effect but are not answered
-	KillTarget Trouble = "kill-target"  // a target ends and starts again empty
-	FailTarget Trouble = "fail-target"  // every task fails at once
-	HangTarget Trouble = "hang-target"  // tasks make no progress
-	SlowTarget Trouble = "slow-target"  // tasks take six times as long
-	Drain      Trouble = "drain-target" // a target is drained and leaves
-	KillAll    Trouble = "kill-all"     // the processes of all hosts end and start again
-	Surge      Trouble = "surge"        // jobs arrive at Times their rate
+	KillHost         FaultKind = "kill"         // the process of a host ends and starts again
+	PauseHost        FaultKind = "freeze"       // the process of a host is paused
+	RestartHost      FaultKind = "restart"      // a host shuts down gracefully and starts again
+	PartitionHost    FaultKind = "cut-host"     // a host cannot reach other hosts
+	PartitionStore   FaultKind = "cut-store"    // a host cannot reach the store
+	PartitionZone    FaultKind = "cut-zone"     // a zone cannot reach the other zones and the store
+	StoreUnavailable FaultKind = "store-down"   // the store does not answer
+	StoreSlow        FaultKind = "store-slow"   // calls take 50 times as long
+	StoreAnswersLost FaultKind = "store-lost"   // writes take effect but are not answered
+	KillTarget       FaultKind = "kill-target"  // a target ends and starts again empty
+	FailTarget       FaultKind = "fail-target"  // every task fails at once
+	HangTarget       FaultKind = "hang-target"  // tasks make no progress
+	SlowTarget       FaultKind = "slow-target"  // tasks take six times as long
+	DrainTarget      FaultKind = "drain-target" // a target is drained and leaves
+	KillAllHosts     FaultKind = "kill-all"     // the processes of all hosts end and start again
+	Burst            FaultKind = "surge"        // jobs arrive at RateFactor times their rate
 )
 
-// Troubles returns all kinds of fault.
-func Troubles() []Trouble {
-	return []Trouble{
-		Kill, Freeze, Restart, CutHost, CutStore, CutZone, StoreDown, StoreSlow, StoreLost,
-		KillTarget, FailTarget, HangTarget, SlowTarget, Drain, KillAll, Surge,
+// FaultKinds returns all kinds of fault.
+func FaultKinds() []FaultKind {
+	return []FaultKind{
+		KillHost, PauseHost, RestartHost, PartitionHost, PartitionStore, PartitionZone, StoreUnavailable, StoreSlow, StoreAnswersLost,
+		KillTarget, FailTarget, HangTarget, SlowTarget, DrainTarget, KillAllHosts, Burst,
 	}
 }
 
 // Fault is a fault to inject, with its time and extent.
 type Fault struct {
-	Trouble Trouble
-	At      time.Duration // after the start of the load
-	For     time.Duration
-	Where   string
-	Share   float64 // of the targets
-	Times   float64 // factor of the arrival rate for Surge
+	Kind        FaultKind
+	At          time.Duration // after the start of the load
+	Duration    time.Duration
+	Selector    string
+	TargetShare float64 // share of the targets that are affected
+	RateFactor  float64 // factor of the arrival rate for Burst
 }
 
-func (w *World) scheduleFault(f Fault) {
-	w.schedule(f.At+w.Warm, func() { w.injectFault(f) })
+func (sim *Simulation) scheduleFault(f Fault) {
+	sim.schedule(f.At+sim.WarmUpDuration, func() { sim.injectFault(f) })
 }
 
-func (w *World) injectFault(f Fault) {
-	switch f.Trouble {
-	case Kill, Freeze, Restart, CutHost, CutStore:
-		w.injectHostFault(f, w.pickHost(f.Where))
-	case CutZone:
-		w.partitionZone(f)
-	case StoreDown, StoreSlow, StoreLost:
-		w.injectStoreFault(f)
-	case KillTarget, FailTarget, HangTarget, SlowTarget, Drain:
-		for _, id := range w.targetIDs {
-			if w.random.Float64() < f.Share {
-				w.injectTargetFault(f, w.targets[id])
+func (sim *Simulation) injectFault(f Fault) {
+	switch f.Kind {
+	case KillHost, PauseHost, RestartHost, PartitionHost, PartitionStore:
+		sim.injectHostFault(f, sim.pickHost(f.Selector))
+	case PartitionZone:
+		sim.partitionZone(f)
+	case StoreUnavailable, StoreSlow, StoreAnswersLost:
+		sim.injectStoreFault(f)
+	case KillTarget, FailTarget, HangTarget, SlowTarget, DrainTarget:
+		for _, id := range sim.targetIDs {
+			if sim.random.Float64() < f.TargetShare {
+				sim.injectTargetFault(f, sim.targets[id])
 			}
 		}
-	case KillAll:
-		for _, h := range w.hosts {
+	case KillAllHosts:
+		for _, h := range sim.hosts {
 			h.kill()
-			w.schedule(f.For+time.Duration(w.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
+			sim.schedule(f.Duration+time.Duration(sim.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
 		}
 	}
 }
 
 // pickHost returns the host that a fault affects.
-func (w *World) pickHost(where string) *host {
-	for _, h := range w.hosts {
+func (sim *Simulation) pickHost(where string) *host {
+	for _, h := range sim.hosts {
 		if h.name == where {
 			return h
 		}
 	}
-	best := w.hosts[w.random.IntN(len(w.hosts))]
+	best := sim.hosts[sim.random.IntN(len(sim.hosts))]
 	if where != "holder" {
 		return best
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.up && !h.paused && (!best.up || h.router.View().HeldCells > best.router.View().HeldCells) {
 			best = h
 		}
@@ -95,104 +95,104 @@
 	return best
 }
 
-func (w *World) injectHostFault(f Fault, h *host) {
-	switch f.Trouble {
-	case Kill:
+func (sim *Simulation) injectHostFault(f Fault, h *host) {
+	switch f.Kind {
+	case KillHost:
 		h.kill()
-		w.schedule(f.For, h.startProcess)
-	case Freeze:
+		sim.schedule(f.Duration, h.startProcess)
+	case PauseHost:
 		if h.up {
 			h.paused = true
 			incarnation := h.incarnation
-			w.schedule(f.For, func() {
+			sim.schedule(f.Duration, func() {
 				if h.incarnation == incarnation {
 					h.resume()
 				}
 			})
 		}
-	case Restart:
+	case RestartHost:
 		if h.up {
 			h.step(router.Drain{})
 			incarnation := h.incarnation
-			w.schedule(2*time.Second, func() { h.leaving = h.incarnation == incarnation })
-			w.schedule(w.Bounds.ShutdownTimeout, func() { // the platform kills a host that has not shut down in time
+			sim.schedule(2*time.Second, func() { h.leaving = h.incarnation == incarnation })
+			sim.schedule(sim.Bounds.ShutdownTimeout, func() { // the platform kills a host that has not shut down in time
 				if h.incarnation == incarnation && h.up {
 					h.kill()
-					w.schedule(300*time.Millisecond, h.startProcess)
+					sim.schedule(300*time.Millisecond, h.startProcess)
 				}
 			})
 		}
-	case CutHost:
-		for _, other := range w.hosts {
+	case PartitionHost:
+		for _, other := range sim.hosts {
 			if other != h {
-				w.partition(h.name, other.name, f.For)
+				sim.partition(h.name, other.name, f.Duration)
 			}
 		}
-	case CutStore:
-		w.partition(h.name, "store", f.For)
+	case PartitionStore:
+		sim.partition(h.name, "store", f.Duration)
 	}
 }
 
 // partition blocks messages between two places in both directions for a period.
-func (w *World) partition(a, b string, duration time.Duration) {
-	w.partitions[[2]string{a, b}], w.partitions[[2]string{b, a}] = true, true
-	w.schedule(duration, func() {
-		delete(w.partitions, [2]string{a, b})
-		delete(w.partitions, [2]string{b, a})
+func (sim *Simulation) partition(a, b string, duration time.Duration) {
+	sim.partitions[[2]string{a, b}], sim.partitions[[2]string{b, a}] = true, true
+	sim.schedule(duration, func() {
+		delete(sim.partitions, [2]string{a, b})
+		delete(sim.partitions, [2]string{b, a})
 	})
 }
 
-func (w *World) partitionZone(f Fault) {
-	zone := f.Where
+func (sim *Simulation) partitionZone(f Fault) {
+	zone := f.Selector
 	if zone == "" {
-		zone = w.Layout.Zones[w.random.IntN(len(w.Layout.Zones))]
+		zone = sim.Size.Zones[sim.random.IntN(len(sim.Size.Zones))]
 	}
-	for _, other := range w.Layout.Zones {
+	for _, other := range sim.Size.Zones {
 		if other != zone {
-			w.partition(zone, other, f.For)
+			sim.partition(zone, other, f.Duration)
 		}
 	}
-	w.partition(zone, "store", f.For)
-	w.schedule(min(f.For, 4500*time.Millisecond), w.store.unlistUnreachable)
-	w.schedule(f.For+time.Second, w.store.relistRunning)
+	sim.partition(zone, "store", f.Duration)
+	sim.schedule(min(f.Duration, 4500*time.Millisecond), sim.store.unlistUnreachable)
+	sim.schedule(f.Duration+time.Second, sim.store.relistRunning)
 }
 
-func (w *World) injectStoreFault(f Fault) {
-	s := w.store
-	switch f.Trouble {
-	case StoreDown:
+func (sim *Simulation) injectStoreFault(f Fault) {
+	s := sim.store
+	switch f.Kind {
+	case StoreUnavailable:
 		s.down = true
 	case StoreSlow:
 		s.latency = 50 * storeRoundTrip
-	case StoreLost:
+	case StoreAnswersLost:
 		s.dropsAnswers = true
 	}
-	w.schedule(f.For, func() { s.down, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
+	sim.schedule(f.Duration, func() { s.down, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
 }
 
-func (w *World) injectTargetFault(f Fault, t *target) {
-	modes := map[Trouble]mode{FailTarget: failing, HangTarget: hanging, SlowTarget: slowed}
+func (sim *Simulation) injectTargetFault(f Fault, t *target) {
+	modes := map[FaultKind]mode{FailTarget: failing, HangTarget: hanging, SlowTarget: slowed}
 	incarnation := t.incarnation
-	switch f.Trouble {
+	switch f.Kind {
 	case KillTarget:
 		t.kill()
-		w.schedule(f.For, func() {
+		sim.schedule(f.Duration, func() {
 			if !t.up {
 				t.startProcess()
 			}
 		})
-	case Drain:
+	case DrainTarget:
 		t.entry.Draining = true
-		w.store.listTarget(t)
-		w.schedule(w.Bounds.LeaseDuration+2*time.Second, func() {
+		sim.store.listTarget(t)
+		sim.schedule(sim.Bounds.LeaseDuration+2*time.Second, func() {
 			if t.incarnation == incarnation {
 				t.kill()
-				w.store.unlistTarget(t)
+				sim.store.unlistTarget(t)
 			}
 		})
 	default:
-		t.mode = modes[f.Trouble]
-		w.schedule(f.For, func() {
+		t.mode = modes[f.Kind]
+		sim.schedule(f.Duration, func() {
 			if t.incarnation == incarnation {
 				t.mode = normal
 			}
@@ -201,12 +201,12 @@
 }
 
 // burstFactor returns the factor of the arrival rate of a kind at a moment.
-func (w *World) burstFactor(kind string, at time.Time) float64 {
+func (sim *Simulation) burstFactor(kind string, at time.Time) float64 {
 	factor := 1.0
-	for _, f := range w.Faults {
-		since := at.Sub(w.start)
-		if f.Trouble == Surge && since >= f.At && since < f.At+f.For && (f.Where == "" || f.Where == kind) {
-			factor *= f.Times
+	for _, f := range sim.Faults {
+		since := at.Sub(sim.start)
+		if f.Kind == Burst && since >= f.At && since < f.At+f.Duration && (f.Selector == "" || f.Selector == kind) {
+			factor *= f.RateFactor
 		}
 	}
 	return factor
--- a/internal/modeler/flood_test.go
+++ b/internal/modeler/flood_test.go
@@ -24,38 +24,38 @@
 
 // simulateFlood simulates a site at 0.7 of the default load, where one kind of job, or none
 // for "", arrives five times as often. It returns the outcomes by kind.
-func simulateFlood(site func() World, flood string) map[string]*Count {
-	worlds := make([]World, floodSeeds)
+func simulateFlood(site func() Simulation, flood string) map[string]*KindCount {
+	simulations := make([]Simulation, floodSeeds)
 	var group sync.WaitGroup
-	for i := range worlds {
-		worlds[i] = site()
-		w := &worlds[i]
-		w.Load, w.Length, w.Seed = 0.7, 14*time.Second, uint64(i)+1
+	for i := range simulations {
+		simulations[i] = site()
+		sim := &simulations[i]
+		sim.LoadFactor, sim.LoadDuration, sim.Seed = 0.7, 14*time.Second, uint64(i)+1
 		if flood != "" {
-			w.Faults = []Fault{{Trouble: Surge, Where: flood, Times: 5, At: 3 * time.Second, For: 9 * time.Second}}
+			sim.Faults = []Fault{{Kind: Burst, Selector: flood, RateFactor: 5, At: 3 * time.Second, Duration: 9 * time.Second}}
 		}
-		group.Go(w.Run)
+		group.Go(sim.Run)
 	}
 	group.Wait()
-	counts := map[string]*Count{violations: {}}
-	for i := range worlds {
-		counts[violations] = &Count{Failed: counts[violations].Failed + len(worlds[i].Broken)}
-		for name, n := range worlds[i].Tally.Kinds {
+	counts := map[string]*KindCount{violations: {}}
+	for i := range simulations {
+		counts[violations] = &KindCount{Failed: counts[violations].Failed + len(simulations[i].Violations)}
+		for name, n := range simulations[i].Results.Kinds {
 			if counts[name] == nil {
-				counts[name] = &Count{}
+				counts[name] = &KindCount{}
 			}
-			counts[name].Asked += n.Asked
+			counts[name].Sent += n.Sent
 			counts[name].InTime += n.InTime
-			counts[name].Took = append(counts[name].Took, n.Took...)
+			counts[name].ResponseTimes = append(counts[name].ResponseTimes, n.ResponseTimes...)
 		}
 	}
 	return counts
 }
 
 // baselines simulate each site without a flood, once.
-var baselines = map[string]func() map[string]*Count{
-	"restrepo":  sync.OnceValue(func() map[string]*Count { return simulateFlood(Restrepo, "") }),
-	"kutchwala": sync.OnceValue(func() map[string]*Count { return simulateFlood(Kutchwala, "") }),
+var baselines = map[string]func() map[string]*KindCount{
+	"restrepo":  sync.OnceValue(func() map[string]*KindCount { return simulateFlood(Restrepo, "") }),
+	"kutchwala": sync.OnceValue(func() map[string]*KindCount { return simulateFlood(Kutchwala, "") }),
 }
 
 // requireIsolation requires that a flood of one kind hardly slows down the other kinds.
@@ -70,9 +70,9 @@
 					continue
 				}
 				n, base := flooded[kind], baseline[kind]
-				inTime := float64(n.InTime) / float64(n.Asked)
-				ratio := n.Quantile(0.99).Seconds() / base.Quantile(0.99).Seconds()
-				t.Logf("%s: %.3f of %d in time, p99 %.3f times that without the flood", kind, inTime, n.Asked, ratio)
+				inTime := float64(n.InTime) / float64(n.Sent)
+				ratio := n.ResponseTimeQuantile(0.99).Seconds() / base.ResponseTimeQuantile(0.99).Seconds()
+				t.Logf("%s: %.3f of %d in time, p99 %.3f times that without the flood", kind, inTime, n.Sent, ratio)
 				assert.GreaterOrEqual(t, inTime, minInTimeShare, kind)
 				assert.LessOrEqual(t, ratio, maxP99Ratio, kind)
 			}
--- a/internal/modeler/host.go
+++ b/internal/modeler/host.go
@@ -8,7 +8,7 @@
 
 // host is a simulated entry host and its process.
 type host struct {
-	world   *World
+	sim     *Simulation
 	name    string
 	zone    string
 	address string
@@ -34,12 +34,12 @@
 	h.up, h.paused, h.leaving, h.deferred = true, false, false, nil
 	h.links = make(map[string]bool)
 	h.router = &router.Router{
-		Policy: h.world.Policy,
-		Self:   router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.world.now.UnixNano()},
-		Bounds: h.world.Bounds,
+		Policy: h.sim.Policy,
+		Self:   router.Member{Name: h.name, Zone: h.zone, Address: h.address, Incarnation: h.sim.now.UnixNano()},
+		Bounds: h.sim.Bounds,
 	}
 	h.tick(h.incarnation)
-	h.schedule(0, func() { h.world.store.register(h) })
+	h.schedule(0, func() { h.sim.store.register(h) })
 	h.watchConfig(h.incarnation)
 }
 
@@ -47,13 +47,13 @@
 func (h *host) kill() {
 	h.up, h.paused, h.deferred = false, false, nil
 	h.incarnation++
-	h.world.dropConnections(h)
+	h.sim.dropConnections(h)
 }
 
 // schedule plans an action of this process. A paused process executes it when it resumes.
 func (h *host) schedule(d time.Duration, action func()) {
 	incarnation := h.incarnation
-	h.world.schedule(d, func() {
+	h.sim.schedule(d, func() {
 		if h.incarnation != incarnation || !h.up {
 			return
 		}
@@ -70,7 +70,7 @@
 	if !h.paused {
 		return
 	}
-	h.paused, h.resumedAt = false, h.world.now
+	h.paused, h.resumedAt = false, h.sim.now
 	deferred := h.deferred
 	h.deferred = nil
 	for _, action := range deferred {
@@ -85,7 +85,7 @@
 		return
 	}
 	h.step(router.Tick{})
-	h.schedule(h.world.Bounds.TickInterval, func() { h.tick(incarnation) })
+	h.schedule(h.sim.Bounds.TickInterval, func() { h.tick(incarnation) })
 }
 
 // watchConfig reads the configuration at regular intervals.
@@ -93,7 +93,7 @@
 	if h.incarnation != incarnation {
 		return
 	}
-	h.world.store.readConfig(h)
+	h.sim.store.readConfig(h)
 	h.schedule(configInterval, func() { h.watchConfig(incarnation) })
 }
 
@@ -106,16 +106,16 @@
 	if !h.up {
 		return
 	}
-	for _, effect := range h.router.Step(h.world.now, e) {
+	for _, effect := range h.router.Step(h.sim.now, e) {
 		h.execute(effect)
 	}
 }
 
 func (h *host) execute(effect router.Effect) {
-	w := h.world
+	sim := h.sim
 	switch e := effect.(type) {
 	case router.Answer:
-		w.handleAnswer(h, e)
+		sim.handleAnswer(h, e)
 	case router.Send:
 		h.send(e)
 	case router.Dial:
@@ -128,35 +128,35 @@
 	case router.CloseLink:
 		delete(h.links, e.Address)
 	case router.Start:
-		w.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStart(h, e) }, func(result router.StartResult, clock router.Reading) router.Event {
+		sim.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStart(h, e) }, func(result router.StartResult, clock router.Reading) router.Event {
 			return router.StartAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Result: result, Clock: clock}
 		})
 	case router.Stop:
-		w.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStop(e) }, func(result router.StartResult, _ router.Reading) router.Event {
+		sim.sendOrder(h, e.Target, e.Timeout, func(t *target) orderHandler { return t.handleStop(e) }, func(result router.StartResult, _ router.Reading) router.Event {
 			return router.StopAnswered{Target: e.Target.ID, Task: e.Task, Run: e.Run, Acknowledged: result == router.Running}
 		})
 	case router.Renew:
-		w.sendRenewal(h, e)
+		sim.sendRenewal(h, e)
 	case router.WriteClaims:
-		w.store.writeClaims(h, e)
+		sim.store.writeClaims(h, e)
 	case router.SaveLearnedState:
-		w.store.saveLearnedState(h, e)
+		sim.store.saveLearnedState(h, e)
 	case router.ReadDirectory:
-		w.store.readDirectory(h)
+		sim.store.readDirectory(h)
 	case router.Decision:
 		h.traceDecision(e)
 	case router.Violation:
-		w.recordViolation("%s: %s: %s", h.name, e.Invariant, e.Detail)
+		sim.recordViolation("%s: %s: %s", h.name, e.Invariant, e.Detail)
 	case router.Halt:
 		h.kill()
-		w.schedule(300*time.Millisecond, h.startProcess)
+		sim.schedule(300*time.Millisecond, h.startProcess)
 	}
 }
 
 // send sends a message to another host if the link to it is open.
 func (h *host) send(e router.Send) {
-	w := h.world
-	to := w.hostsByAddress[e.To]
+	sim := h.sim
+	to := sim.hostsByAddress[e.To]
 	if to == nil || !h.links[e.To] {
 		return
 	}
@@ -166,27 +166,27 @@
 		return
 	}
 	h.sentMessages++
-	if !w.canReach(h.name, h.zone, to.name, to.zone) {
+	if !sim.canReach(h.name, h.zone, to.name, to.zone) {
 		return
 	}
-	to.schedule(w.delay(h.zone, to.zone), func() { to.step(router.Receive{From: h.address, Message: e.Message}) })
+	to.schedule(sim.delay(h.zone, to.zone), func() { to.step(router.Receive{From: h.address, Message: e.Message}) })
 }
 
 // dial opens a link and retries until it is open or no longer wanted.
 func (h *host) dial(address string) {
-	w := h.world
-	to := w.hostsByAddress[address]
+	sim := h.sim
+	to := sim.hostsByAddress[address]
 	if to == nil || h.links[address] {
 		return
 	}
 	if _, known := h.links[address]; !known {
 		h.links[address] = false
 	}
-	h.schedule(2*w.delay(h.zone, to.zone), func() {
+	h.schedule(2*sim.delay(h.zone, to.zone), func() {
 		if isOpen, isWanted := h.links[address]; isOpen || !isWanted {
 			return
 		}
-		canConnect := w.canReach(h.name, h.zone, to.name, to.zone) && w.canReach(to.name, to.zone, h.name, h.zone)
+		canConnect := sim.canReach(h.name, h.zone, to.name, to.zone) && sim.canReach(to.name, to.zone, h.name, h.zone)
 		if canConnect && to.up {
 			h.links[address] = true
 			h.step(router.LinkOpened{Address: address})
@@ -204,21 +204,21 @@
 
 // dropConnections closes all links to a process that has ended, and the connections of its
 // clients.
-func (w *World) dropConnections(ended *host) {
-	for _, h := range w.hosts {
+func (sim *Simulation) dropConnections(ended *host) {
+	for _, h := range sim.hosts {
 		if h.up && h.links[ended.address] {
 			h.links[ended.address] = false
 			h.dial(ended.address)
 		}
 	}
-	for _, c := range w.clientsWaitingAt(ended) {
+	for _, c := range sim.clientsWaitingAt(ended) {
 		c.handleBrokenConnection()
 	}
 }
 
-// traceDecision passes a decision to World.Trace.
+// traceDecision passes a decision to Simulation.Trace.
 func (h *host) traceDecision(e router.Decision) {
-	if h.world.Trace != nil {
-		h.world.Trace(h.world.now.Sub(h.world.start), h.name, e)
+	if h.sim.Trace != nil {
+		h.sim.Trace(h.sim.now.Sub(h.sim.start), h.name, e)
 	}
 }
--- a/internal/modeler/load_test.go
+++ b/internal/modeler/load_test.go
@@ -18,24 +18,24 @@
 
 // meanBenefit returns the mean benefit over simulations with different seeds. It requires
 // that no invariant is violated, and calls inspect for each simulation after its run.
-func meanBenefit(t *testing.T, build func() *World, inspect ...func(*World)) float64 {
+func meanBenefit(t *testing.T, build func() *Simulation, inspect ...func(*Simulation)) float64 {
 	t.Helper()
 	benefit := 0.0
-	var worlds [seedCount]*World
+	var simulations [seedCount]*Simulation
 	var group sync.WaitGroup
-	for i := range worlds {
-		w := build()
-		w.Seed = uint64(i) + 1
-		worlds[i] = w
-		group.Go(w.Run)
+	for i := range simulations {
+		sim := build()
+		sim.Seed = uint64(i) + 1
+		simulations[i] = sim
+		group.Go(sim.Run)
 	}
 	group.Wait()
-	for _, w := range worlds {
-		logResults(t, w)
-		assert.Empty(t, w.Broken)
-		benefit += w.Tally.Worth() / seedCount
+	for _, sim := range simulations {
+		logResults(t, sim)
+		assert.Empty(t, sim.Violations)
+		benefit += sim.Results.BenefitRatio() / seedCount
 		for _, check := range inspect {
-			check(w)
+			check(sim)
 		}
 	}
 	t.Logf("mean benefit %.3f", benefit)
@@ -47,7 +47,7 @@
 func TestBenefitUnderHeavyLoad(t *testing.T) {
 	for _, c := range []struct{ load, least float64 }{{heaviestLoad, 0.97}, {heaviestLoad * 1.3, 0.85}, {heaviestLoad * 2, 0}} {
 		t.Run(fmt.Sprintf("%.2f", c.load), func(t *testing.T) {
-			benefit := meanBenefit(t, func() *World { return testWorld(c.load, 12*time.Second) })
+			benefit := meanBenefit(t, func() *Simulation { return testSimulation(c.load, 12*time.Second) })
 			assert.GreaterOrEqual(t, benefit, c.least)
 		})
 	}
@@ -56,10 +56,10 @@
 // TestBenefitWithFaultyTargets checks the benefit at the default load while a seventh of the
 // targets fail all tasks, hang, run six times as slow or end, for eight seconds.
 func TestBenefitWithFaultyTargets(t *testing.T) {
-	for _, kind := range []Trouble{FailTarget, HangTarget, SlowTarget, KillTarget} {
+	for _, kind := range []FaultKind{FailTarget, HangTarget, SlowTarget, KillTarget} {
 		t.Run(string(kind), func(t *testing.T) {
-			f := Fault{Trouble: kind, At: 3 * time.Second, For: 8 * time.Second, Share: 1.0 / 7}
-			benefit := meanBenefit(t, func() *World { return testWorld(1, 12*time.Second, f) })
+			f := Fault{Kind: kind, At: 3 * time.Second, Duration: 8 * time.Second, TargetShare: 1.0 / 7}
+			benefit := meanBenefit(t, func() *Simulation { return testSimulation(1, 12*time.Second, f) })
 			assert.GreaterOrEqual(t, benefit, 0.90)
 		})
 	}
@@ -68,11 +68,11 @@
 // TestPartitionedZoneUsesNoOtherCapacity guards against jobs that wait for the targets of a
 // partitioned zone and use up the capacity of the other zones, which must serve on.
 func TestPartitionedZoneUsesNoOtherCapacity(t *testing.T) {
-	w := testWorld(0.8, 10*time.Second, Fault{Trouble: CutZone, Where: "north", At: 4 * time.Second, For: 5 * time.Second})
-	w.Run()
-	logResults(t, w)
-	assert.Empty(t, w.Broken)
-	assert.GreaterOrEqual(t, w.Tally.WorstSpan(2), 0.6)
+	sim := testSimulation(0.8, 10*time.Second, Fault{Kind: PartitionZone, Selector: "north", At: 4 * time.Second, Duration: 5 * time.Second})
+	sim.Run()
+	logResults(t, sim)
+	assert.Empty(t, sim.Violations)
+	assert.GreaterOrEqual(t, sim.Results.WorstBenefitRatio(2), 0.6)
 }
 
 // TestPartitionAffectsFewJobs checks that most jobs run in the zone of their clients, so that
@@ -80,8 +80,8 @@
 func TestPartitionAffectsFewJobs(t *testing.T) {
 	benefit := 0.0
 	for _, zone := range []string{"north", "west"} {
-		f := Fault{Trouble: CutZone, Where: zone, At: 4 * time.Second, For: 5 * time.Second}
-		benefit += meanBenefit(t, func() *World { return testWorld(1, 12*time.Second, f) }) / 2
+		f := Fault{Kind: PartitionZone, Selector: zone, At: 4 * time.Second, Duration: 5 * time.Second}
+		benefit += meanBenefit(t, func() *Simulation { return testSimulation(1, 12*time.Second, f) }) / 2
 	}
 	assert.GreaterOrEqual(t, benefit, 0.925)
 }
@@ -89,10 +89,10 @@
 // TestBenefitWithLostAnswers checks the benefit while targets execute orders but a tenth of
 // their answers is lost.
 func TestBenefitWithLostAnswers(t *testing.T) {
-	benefit := meanBenefit(t, func() *World {
-		w := testWorld(0.8, 10*time.Second)
-		w.Mute = 0.1
-		return w
+	benefit := meanBenefit(t, func() *Simulation {
+		sim := testSimulation(0.8, 10*time.Second)
+		sim.LostAnswerShare = 0.1
+		return sim
 	})
 	assert.GreaterOrEqual(t, benefit, 0.95)
 }
@@ -106,13 +106,13 @@
 	}{{"burst", 1, 2}, {"lasting overload", 1.43, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			resent, completed := 0, 0
-			meanBenefit(t, func() *World {
-				w := testWorld(c.load, 12*time.Second, Fault{Trouble: Surge, Times: c.times, At: 3 * time.Second, For: 3 * time.Second})
-				w.Returns = true
-				return w
-			}, func(w *World) {
-				resent += w.Tally.Returned
-				completed += w.Tally.Welcome
+			meanBenefit(t, func() *Simulation {
+				sim := testSimulation(c.load, 12*time.Second, Fault{Kind: Burst, RateFactor: c.times, At: 3 * time.Second, Duration: 3 * time.Second})
+				sim.RetryRefusedJobs = true
+				return sim
+			}, func(sim *Simulation) {
+				resent += sim.Results.Retried
+				completed += sim.Results.CompletedRetries
 			})
 			share := float64(completed) / float64(resent)
 			t.Logf("%d jobs were sent again, %.2f of them were completed", resent, share)
@@ -124,7 +124,7 @@
 // TestSlowTargetsAreAvoided checks that clients lose little when a sixth of the targets run
 // six times as slow for seven seconds and the other targets have capacity for all jobs.
 func TestSlowTargetsAreAvoided(t *testing.T) {
-	f := Fault{Trouble: SlowTarget, At: 3 * time.Second, For: 7 * time.Second, Share: 1.0 / 6}
-	benefit := meanBenefit(t, func() *World { return testWorld(0.8, 12*time.Second, f) })
+	f := Fault{Kind: SlowTarget, At: 3 * time.Second, Duration: 7 * time.Second, TargetShare: 1.0 / 6}
+	benefit := meanBenefit(t, func() *Simulation { return testSimulation(0.8, 12*time.Second, f) })
 	assert.GreaterOrEqual(t, benefit, 0.97)
 }
--- a/internal/modeler/lost_test.go
+++ b/internal/modeler/lost_test.go
@@ -15,14 +15,14 @@
 func benefitAfterLoss(t *testing.T, policy router.Policy) float64 {
 	const first, last = 13, 15 // seconds
 	achieved, possible := 0.0, 0.0
-	meanBenefit(t, func() *World {
-		w := testWorld(1, last*time.Second, Fault{Trouble: KillAll, At: 11 * time.Second, For: 1200 * time.Millisecond})
-		w.Policy = policy
-		return w
-	}, func(w *World) {
+	meanBenefit(t, func() *Simulation {
+		sim := testSimulation(1, last*time.Second, Fault{Kind: KillAllHosts, At: 11 * time.Second, Duration: 1200 * time.Millisecond})
+		sim.Policy = policy
+		return sim
+	}, func(sim *Simulation) {
 		for second := first; second < last; second++ {
-			achieved += w.Tally.Earned[second]
-			possible += w.Tally.Owed[second]
+			achieved += sim.Results.Achieved[second]
+			possible += sim.Results.Possible[second]
 		}
 	})
 	t.Logf("benefit after the hosts are back %.3f", achieved/possible)
--- a/internal/modeler/scenario.go
+++ b/internal/modeler/scenario.go
@@ -23,38 +23,38 @@
 	Faults   []Fault
 }
 
-// Variant is a named policy of a comparison. Change applies it to a World.
-type Variant struct {
-	Name   string
-	Change func(*World)
+// PolicyVariant is a named policy of a comparison. Apply sets it in a Simulation.
+type PolicyVariant struct {
+	Name  string
+	Apply func(*Simulation)
 }
 
-// Variants returns the current policy first, then previous policies and baselines.
-func Variants() []Variant {
-	return []Variant{
-		{"pooled", func(*World) {}},
-		{"unshared", func(w *World) { w.Policy.Sharing = router.NoSharing }},
-		{"zones", func(w *World) { w.Bounds.MaxSharedTargets = 1 }},
-		{"patient", func(w *World) { w.Policy.Admission = router.AdmitAll }},
-		{"arrival", func(w *World) { w.Policy.QueueOrder = router.ByArrival }},
-		{"first-come", func(w *World) {
-			w.Policy = router.Policy{QueueOrder: router.ByArrival, Admission: router.AdmitAll, Sharing: router.NoSharing}
+// PolicyVariants returns the current policy first, then previous policies and baselines.
+func PolicyVariants() []PolicyVariant {
+	return []PolicyVariant{
+		{"pooled", func(*Simulation) {}},
+		{"unshared", func(sim *Simulation) { sim.Policy.Sharing = router.NoSharing }},
+		{"zones", func(sim *Simulation) { sim.Bounds.MaxSharedTargets = 1 }},
+		{"patient", func(sim *Simulation) { sim.Policy.Admission = router.AdmitAll }},
+		{"arrival", func(sim *Simulation) { sim.Policy.QueueOrder = router.ByArrival }},
+		{"first-come", func(sim *Simulation) {
+			sim.Policy = router.Policy{QueueOrder: router.ByArrival, Admission: router.AdmitAll, Sharing: router.NoSharing}
 		}},
 	}
 }
 
 // Ablations returns the current policy, then the current policy without each one of its
 // mechanisms.
-func Ablations() []Variant {
-	list := []Variant{
-		Variants()[0],
-		{"without order", func(w *World) { w.Policy.QueueOrder = router.ByArrival }},
-		{"without refusals", func(w *World) { w.Policy.Admission = router.AdmitAll }},
-		{"without shares", func(w *World) { w.Policy.Sharing = router.NoSharing }},
-		{"without retries", func(w *World) { w.Policy.RetryOrder = router.RetriesAsNew }},
+func Ablations() []PolicyVariant {
+	list := []PolicyVariant{
+		PolicyVariants()[0],
+		{"without order", func(sim *Simulation) { sim.Policy.QueueOrder = router.ByArrival }},
+		{"without refusals", func(sim *Simulation) { sim.Policy.Admission = router.AdmitAll }},
+		{"without shares", func(sim *Simulation) { sim.Policy.Sharing = router.NoSharing }},
+		{"without retries", func(sim *Simulation) { sim.Policy.RetryOrder = router.RetriesAsNew }},
 	}
 	for _, m := range router.Mechanisms() {
-		list = append(list, Variant{"without " + string(m), func(w *World) { w.Policy.Disabled = m }})
+		list = append(list, PolicyVariant{"without " + string(m), func(sim *Simulation) { sim.Policy.Disabled = m }})
 	}
 	return list
 }
@@ -68,8 +68,8 @@
 }
 
 // Sites returns the sites by the names that scenarios use.
-func Sites() map[string]func() World {
-	return map[string]func() World{"restrepo": Restrepo, "kutchwala": Kutchwala}
+func Sites() map[string]func() Simulation {
+	return map[string]func() Simulation{"restrepo": Restrepo, "kutchwala": Kutchwala}
 }
 
 const (
@@ -101,7 +101,7 @@
 	}
 	v.Policies = s.List("policies")
 	var known []string
-	for _, variant := range Variants() {
+	for _, variant := range PolicyVariants() {
 		known = append(known, variant.Name)
 	}
 	for _, p := range v.Policies {
@@ -126,57 +126,58 @@
 	s := doc.Section(section)
 	defer s.Close()
 	f := Fault{
-		Trouble: Trouble(s.Need("trouble", "name a kind of fault, such as cut-zone")), Where: s.Text("where", ""),
-		At: s.Duration("at", 3*time.Second, 0, time.Hour), For: s.Duration("for", 5*time.Second, 0, time.Hour),
-		Share: s.Float("share", 0, 0, 1), Times: s.Float("times", 1, 0, 100),
+		Kind: FaultKind(s.Need("trouble", "name a kind of fault, such as cut-zone")), Selector: s.Text("where", ""),
+		At: s.Duration("at", 3*time.Second, 0, time.Hour), Duration: s.Duration("for", 5*time.Second, 0, time.Hour),
+		TargetShare: s.Float("share", 0, 0, 1), RateFactor: s.Float("times", 1, 0, 100),
 	}
-	if f.Trouble != "" && !slices.Contains(Troubles(), f.Trouble) {
-		doc.Fault(section, "trouble", "unknown", "use one of: "+strings.Trim(fmt.Sprint(Troubles()), "[]"))
+	if f.Kind != "" && !slices.Contains(FaultKinds(), f.Kind) {
+		doc.Fault(section, "trouble", "unknown", "use one of: "+strings.Trim(fmt.Sprint(FaultKinds()), "[]"))
 	}
 	return f
 }
 
-// Row is the result of one policy under one load over all seeds.
-type Row struct {
+// PolicyResult is the result of one policy under one load over all seeds.
+type PolicyResult struct {
 	Policy string  `json:"policy"`
 	Load   float64 `json:"load"`
-	// Worth is the achieved share of the possible benefit and Worst its lowest value over
-	// any 2 s, both as means over the seeds. Bound is an upper bound on Worth under any
-	// policy.
-	Worth float64 `json:"worth"`
-	Worst float64 `json:"worst"`
-	Bound float64 `json:"bound"`
-	// Gain is the mean difference of Worth from that of the first policy under the same
+	// Benefit is the achieved share of the possible benefit and WorstBenefit its lowest
+	// value over any 2 s, both as means over the seeds. MaxBenefit is an upper bound on
+	// Benefit under any policy.
+	Benefit      float64 `json:"worth"`
+	WorstBenefit float64 `json:"worst"`
+	MaxBenefit   float64 `json:"bound"`
+	// Gain is the mean difference of Benefit from that of the first policy under the same
 	// load and seeds. Margin is half of the 95 % confidence interval of Gain, or 0 when
 	// there is only one seed.
 	Gain   float64 `json:"gain"`
 	Margin float64 `json:"margin,omitempty"`
-	// Seconds is the achieved share of the benefit by second, Zones by the client's zone.
-	Seconds []float64          `json:"seconds"`
-	Zones   map[string]float64 `json:"zones"`
-	Kinds   map[string]KindRow `json:"kinds"`
-	// Broken lists the violations of invariants.
-	Broken []string `json:"broken,omitempty"`
+	// BenefitBySecond is the achieved share of the benefit by second, BenefitByZone by
+	// the client's zone.
+	BenefitBySecond []float64             `json:"seconds"`
+	BenefitByZone   map[string]float64    `json:"zones"`
+	Kinds           map[string]KindResult `json:"kinds"`
+	// Violations lists the violations of invariants.
+	Violations []string `json:"broken,omitempty"`
 }
 
-// KindRow is the result for one kind of job.
-type KindRow struct {
-	Asked   int     `json:"asked"`
+// KindResult is the result for one kind of job.
+type KindResult struct {
+	Sent    int     `json:"asked"`
 	InTime  int     `json:"inTime"`
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"` // or of unknown outcome
-	Worth   float64 `json:"worth"`
+	Benefit float64 `json:"worth"`
 	// P50 and P99 are quantiles of the response times of completed jobs. They are in
 	// nanoseconds in JSON.
 	P50 time.Duration `json:"p50"`
 	P99 time.Duration `json:"p99"`
 }
 
-// Play simulates all policies, loads and seeds, up to jobs simulations in parallel. It calls
+// Run simulates all policies, loads and seeds, up to jobs simulations in parallel. It calls
 // progress after each simulation. It returns a row for each load and policy,
 // in the order of Loads and then of Policies.
-func (v *Scenario) Play(jobs int, progress func(done, total int)) []Row {
+func (v *Scenario) Run(jobs int, progress func(done, total int)) []PolicyResult {
 	var simulations []*scenarioRun
 	for _, load := range v.Loads {
 		for _, name := range v.Policies {
@@ -192,7 +193,7 @@
 		r.group.Go(t.run)
 	}
 	r.group.Wait()
-	var rows []Row
+	var rows []PolicyResult
 	for i := 0; i < len(simulations); i += v.Seeds {
 		row := summarize(simulations[i : i+v.Seeds])
 		first := i - i%(len(v.Policies)*v.Seeds)
@@ -220,21 +221,21 @@
 	seed     uint64
 	runner   *runner
 
-	tally      Tally
+	tally      Results
 	capacity   float64
 	violations []string
 }
 
 func (t *scenarioRun) run() {
-	w := Sites()[t.scenario.Site]()
-	w.Load, w.Seed, w.Length, w.Faults = t.load, t.seed, t.scenario.Length, t.scenario.Faults
-	for _, variant := range slices.Concat(Variants()[1:], Ablations()) {
+	sim := Sites()[t.scenario.Site]()
+	sim.LoadFactor, sim.Seed, sim.LoadDuration, sim.Faults = t.load, t.seed, t.scenario.Length, t.scenario.Faults
+	for _, variant := range slices.Concat(PolicyVariants()[1:], Ablations()) {
 		if variant.Name == t.policy {
-			variant.Change(&w)
+			variant.Apply(&sim)
 		}
 	}
-	w.Run()
-	t.tally, t.capacity, t.violations = w.Tally, w.capacity(), w.Broken
+	sim.Run()
+	t.tally, t.capacity, t.violations = sim.Results, sim.capacity(), sim.Violations
 	t.runner.mutex.Lock()
 	t.runner.done++
 	t.runner.progress(t.runner.done, t.runner.total)
--- a/internal/modeler/scenario_test.go
+++ b/internal/modeler/scenario_test.go
@@ -40,35 +40,35 @@
 // benefit than the current one, none exceeds the bound, and all get the same jobs.
 func TestCurrentPolicyIsBest(t *testing.T) {
 	s := &Scenario{Site: "restrepo", Loads: []float64{heaviestLoad * 1.3}, Seeds: 4, Length: 10 * time.Second}
-	for _, v := range Variants() {
+	for _, v := range PolicyVariants() {
 		s.Policies = append(s.Policies, v.Name)
 	}
 	calls := 0
-	rows := s.Play(4, func(done, all int) {
+	rows := s.Run(4, func(done, all int) {
 		calls++
 		assert.Equal(t, calls, done)
 		assert.Equal(t, 4*len(s.Policies), all)
 	})
 	require.Len(t, rows, len(s.Policies))
 	for _, r := range rows {
-		t.Logf("%s: benefit %.3f, worst %.3f, bound %.3f", r.Policy, r.Worth, r.Worst, r.Bound)
-		assert.Empty(t, r.Broken)
-		assert.LessOrEqual(t, r.Worth, rows[0].Worth, r.Policy)
-		assert.LessOrEqual(t, r.Worth, r.Bound)
-		assert.Equal(t, rows[0].Kinds["check"].Asked, r.Kinds["check"].Asked)
-		assert.Len(t, r.Seconds, 10)
-		assert.Len(t, r.Zones, 3)
+		t.Logf("%s: benefit %.3f, worst %.3f, bound %.3f", r.Policy, r.Benefit, r.WorstBenefit, r.MaxBenefit)
+		assert.Empty(t, r.Violations)
+		assert.LessOrEqual(t, r.Benefit, rows[0].Benefit, r.Policy)
+		assert.LessOrEqual(t, r.Benefit, r.MaxBenefit)
+		assert.Equal(t, rows[0].Kinds["check"].Sent, r.Kinds["check"].Sent)
+		assert.Len(t, r.BenefitBySecond, 10)
+		assert.Len(t, r.BenefitByZone, 3)
 	}
-	assert.Less(t, rows[len(rows)-1].Worth, 0.7*rows[0].Worth, "first come, first served")
+	assert.Less(t, rows[len(rows)-1].Benefit, 0.7*rows[0].Benefit, "first come, first served")
 }
 
 // TestBoundPrefersBenefitPerWork checks that the jobs with the highest benefit per work use
 // the capacity first.
 func TestBoundPrefersBenefitPerWork(t *testing.T) {
-	tally := Tally{Orders: []Order{{Worth: 1, Work: 10}, {Worth: 1, Work: 1}, {Worth: 2, Work: 8}}}
-	assert.InDelta(t, 1, tally.Bound(19), 1e-9)
-	assert.InDelta(t, (1+2+lateBenefit)/4, tally.Bound(9), 1e-9)
-	assert.InDelta(t, (1+1+2*lateBenefit/2+lateBenefit)/4, tally.Bound(5), 1e-9)
+	tally := Results{Jobs: []JobBenefit{{Benefit: 1, Work: 10}, {Benefit: 1, Work: 1}, {Benefit: 2, Work: 8}}}
+	assert.InDelta(t, 1, tally.MaxBenefitRatio(19), 1e-9)
+	assert.InDelta(t, (1+2+lateBenefit)/4, tally.MaxBenefitRatio(9), 1e-9)
+	assert.InDelta(t, (1+1+2*lateBenefit/2+lateBenefit)/4, tally.MaxBenefitRatio(5), 1e-9)
 }
 
 // TestAblationsDisableEachMechanism checks that each mechanism is disabled in turn, and that
@@ -77,15 +77,15 @@
 	s := &Scenario{Site: "restrepo", Loads: []float64{0.5}, Seeds: 1, Length: time.Second}
 	s.Ablate()
 	assert.Len(t, s.Policies, 5+len(router.Mechanisms()))
-	rows := s.Play(4, func(int, int) {})
+	rows := s.Run(4, func(int, int) {})
 	require.Len(t, rows, len(s.Policies))
 	for i, r := range rows {
-		assert.Empty(t, r.Broken, r.Policy)
+		assert.Empty(t, r.Violations, r.Policy)
 		if i%len(s.Policies) == 0 {
 			assert.Zero(t, r.Gain, r.Policy)
 		}
 		first := rows[i-i%len(s.Policies)]
-		assert.InDelta(t, first.Worth+r.Gain, r.Worth, 1e-9, r.Policy)
+		assert.InDelta(t, first.Benefit+r.Gain, r.Benefit, 1e-9, r.Policy)
 	}
 }
 
@@ -96,7 +96,7 @@
 		var list []*scenarioRun
 		for _, v := range values {
 			t := &scenarioRun{}
-			t.tally.Kinds = map[string]*Count{"k": {Earned: v, Owed: 1}}
+			t.tally.Kinds = map[string]*KindCount{"k": {Achieved: v, Possible: 1}}
 			list = append(list, t)
 		}
 		return list
--- a/internal/modeler/size_test.go
+++ b/internal/modeler/size_test.go
@@ -13,16 +13,16 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// largeWorld returns a deployment of five zones with a number of hosts in total and one
+// largeSimulation returns a deployment of five zones with a number of hosts in total and one
 // holder per zone.
-func largeWorld(hosts int) *World {
-	w := Restrepo()
-	w.Layout.Zones = []string{"north", "south", "west", "east", "middle"}
-	w.Layout.Hosts = hosts / len(w.Layout.Zones)
-	w.Layout.Targets = 8
-	w.Bounds.MaxSharedTargets = 10
-	w.Load = 0.25
-	return &w
+func largeSimulation(hosts int) *Simulation {
+	sim := Restrepo()
+	sim.Size.Zones = []string{"north", "south", "west", "east", "middle"}
+	sim.Size.HostsPerZone = hosts / len(sim.Size.Zones)
+	sim.Size.TargetsPerZone = 8
+	sim.Bounds.MaxSharedTargets = 10
+	sim.LoadFactor = 0.25
+	return &sim
 }
 
 const (
@@ -37,23 +37,23 @@
 func TestIdleHostTrafficIsBounded(t *testing.T) {
 	for _, hosts := range []int{75, 150} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			w := largeWorld(hosts)
-			w.Load, w.Length, w.Drain = 0, 3*time.Second, 0
+			sim := largeSimulation(hosts)
+			sim.LoadFactor, sim.LoadDuration, sim.DrainDuration = 0, 3*time.Second, 0
 			before := make(map[string]int)
-			w.schedule(w.Warm, func() {
-				for _, h := range w.hosts {
+			sim.schedule(sim.WarmUpDuration, func() {
+				for _, h := range sim.hosts {
 					before[h.name] = h.sentMessages
 				}
 			})
-			w.Run()
-			assert.Empty(t, w.Broken)
+			sim.Run()
+			assert.Empty(t, sim.Violations)
 			heldCells, leastSent := 0, math.MaxInt
-			for _, h := range w.hosts {
+			for _, h := range sim.hosts {
 				heldCells += h.router.View().HeldCells
 				leastSent = min(leastSent, h.sentMessages-before[h.name])
 			}
-			assert.Equal(t, len(w.Layout.Zones), heldCells)
-			rate := float64(leastSent) / w.Length.Seconds()
+			assert.Equal(t, len(sim.Size.Zones), heldCells)
+			rate := float64(leastSent) / sim.LoadDuration.Seconds()
 			t.Logf("%d hosts: the host with the least traffic sends %.1f messages per second", hosts, rate)
 			assert.LessOrEqual(t, rate*messageBytes, float64(controlBytesPerSecond))
 		})
@@ -62,7 +62,7 @@
 
 // reachesHolder reports whether a host reaches the holder of its zone's cell.
 func reachesHolder(h *host) bool {
-	for _, e := range h.router.Step(h.world.now, router.Inspect{}) {
+	for _, e := range h.router.Step(h.sim.now, router.Inspect{}) {
 		if s, ok := e.(router.State); ok {
 			return slices.ContainsFunc(s.Cells, func(c router.CellState) bool { return c.Zone == h.zone && c.Reachable })
 		}
@@ -81,24 +81,24 @@
 	var group sync.WaitGroup
 	for seed := range uint64(4) {
 		group.Go(func() {
-			w := largeWorld(75)
-			w.Seed, w.Length, w.Drain = seed+1, 5*time.Second, time.Second
+			sim := largeSimulation(75)
+			sim.Seed, sim.LoadDuration, sim.DrainDuration = seed+1, 5*time.Second, time.Second
 			const lostAt = 2 * time.Second
-			for i := range 7 * len(w.Layout.Zones) {
-				where := fmt.Sprintf("h%d-%d", i%len(w.Layout.Zones), i/len(w.Layout.Zones))
-				w.Faults = append(w.Faults, Fault{Trouble: Kill, At: lostAt, For: 4 * time.Second, Where: where})
+			for i := range 7 * len(sim.Size.Zones) {
+				where := fmt.Sprintf("h%d-%d", i%len(sim.Size.Zones), i/len(sim.Size.Zones))
+				sim.Faults = append(sim.Faults, Fault{Kind: KillHost, At: lostAt, Duration: 4 * time.Second, Selector: where})
 			}
 			notServing := ""
-			w.schedule(w.Warm+lostAt+balancerDelay, func() {
-				for _, h := range w.hosts {
+			sim.schedule(sim.WarmUpDuration+lostAt+balancerDelay, func() {
+				for _, h := range sim.hosts {
 					if h.up && !reachesHolder(h) {
 						notServing += " " + h.name
 					}
 				}
 			})
-			w.Run()
-			assert.Empty(t, w.Broken, "seed %d", w.Seed)
-			assert.Empty(t, notServing, "seed %d: hosts that do not serve in time", w.Seed)
+			sim.Run()
+			assert.Empty(t, sim.Violations, "seed %d", sim.Seed)
+			assert.Empty(t, notServing, "seed %d: hosts that do not serve in time", sim.Seed)
 		})
 	}
 	group.Wait()
@@ -108,13 +108,13 @@
 // load where each zone has its own holder.
 func TestLargeDeploymentServesFromStart(t *testing.T) {
 	for _, hosts := range []int{30, 75} {
-		w := largeWorld(hosts)
-		w.Layout.Targets, w.Length, w.Drain = 16, 4*time.Second, 3*time.Second
-		w.Run()
-		assert.Empty(t, w.Broken)
+		sim := largeSimulation(hosts)
+		sim.Size.TargetsPerZone, sim.LoadDuration, sim.DrainDuration = 16, 4*time.Second, 3*time.Second
+		sim.Run()
+		assert.Empty(t, sim.Violations)
 		sent, inTime := 0, 0
-		for _, n := range w.Tally.Kinds {
-			sent, inTime = sent+n.Asked, inTime+n.InTime
+		for _, n := range sim.Results.Kinds {
+			sent, inTime = sent+n.Sent, inTime+n.InTime
 		}
 		assert.GreaterOrEqual(t, float64(inTime)/float64(sent), 0.97, "%d hosts", hosts)
 	}
--- a/internal/modeler/store.go
+++ b/internal/modeler/store.go
@@ -10,7 +10,7 @@
 
 // store simulates the platform's store.
 type store struct {
-	world        *World
+	sim          *Simulation
 	down         bool
 	dropsAnswers bool // writes take effect but are not answered
 	latency      time.Duration
@@ -30,9 +30,9 @@
 // storeRoundTrip is the default duration of a call to the store.
 const storeRoundTrip = 4 * time.Millisecond
 
-func newStore(w *World) *store {
+func newStore(sim *Simulation) *store {
 	return &store{
-		world: w, latency: storeRoundTrip, claims: make(map[string]router.StoredClaim),
+		sim: sim, latency: storeRoundTrip, claims: make(map[string]router.StoredClaim),
 		members: make(map[string]memberRow), targets: make(map[string]router.Target),
 		savedStates: make(map[string]router.SaveLearnedState),
 	}
@@ -41,11 +41,11 @@
 // invoke schedules a call at the store and returns true, or returns false if the host cannot
 // reach the store.
 func (s *store) invoke(h *host, operation func()) bool {
-	w := s.world
-	if s.down || !w.canReach(h.name, h.zone, "store", "store") {
+	sim := s.sim
+	if s.down || !sim.canReach(h.name, h.zone, "store", "store") {
 		return false
 	}
-	w.schedule(s.latency, operation)
+	sim.schedule(s.latency, operation)
 	return true
 }
 
@@ -83,7 +83,7 @@
 		}
 	})
 	if delay := lateWriteDelay(e.Token); !ok && delay > 0 {
-		s.world.schedule(delay, func() { s.applyClaims(e) })
+		s.sim.schedule(delay, func() { s.applyClaims(e) })
 	}
 }
 
@@ -134,7 +134,7 @@
 }
 
 func (s *store) readDirectory(h *host) {
-	requestedAt := s.world.now
+	requestedAt := s.sim.now
 	ok := s.invoke(h, func() {
 		directory := router.Directory{Version: s.version}
 		for _, id := range sortedKeys(s.targets) {
@@ -166,9 +166,9 @@
 
 // unlistUnreachable removes the entries of targets that cannot reach the store.
 func (s *store) unlistUnreachable() {
-	for _, id := range sortedKeys(s.world.targets) {
-		t := s.world.targets[id]
-		if !s.world.canReach(id, t.entry.Zone, "store", "store") {
+	for _, id := range sortedKeys(s.sim.targets) {
+		t := s.sim.targets[id]
+		if !s.sim.canReach(id, t.entry.Zone, "store", "store") {
 			s.unlistTarget(t)
 		}
 	}
@@ -176,8 +176,8 @@
 
 // relistRunning writes the entries of all running targets again.
 func (s *store) relistRunning() {
-	for _, id := range sortedKeys(s.world.targets) {
-		if t := s.world.targets[id]; t.up {
+	for _, id := range sortedKeys(s.sim.targets) {
+		if t := s.sim.targets[id]; t.up {
 			s.listTarget(t)
 		}
 	}
--- a/internal/modeler/summary.go
+++ b/internal/modeler/summary.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// worstSpanSeconds is the length of the windows for Row.Worst.
+// worstSpanSeconds is the length of the windows for PolicyResult.WorstBenefit.
 const worstSpanSeconds = 2
 
 // summarize merges the simulations of one policy under one load.
-func summarize(simulations []*scenarioRun) Row {
-	row := Row{Policy: simulations[0].policy, Load: simulations[0].load, Zones: make(map[string]float64), Kinds: make(map[string]KindRow)}
+func summarize(simulations []*scenarioRun) PolicyResult {
+	row := PolicyResult{Policy: simulations[0].policy, Load: simulations[0].load, BenefitByZone: make(map[string]float64), Kinds: make(map[string]KindResult)}
 	n := float64(len(simulations))
-	zones := make(map[string]*Balance)
-	kinds := make(map[string]*Count)
-	seconds := make(map[int]*Balance)
+	zones := make(map[string]*Benefit)
+	kinds := make(map[string]*KindCount)
+	seconds := make(map[int]*Benefit)
 	for _, t := range simulations {
 		tally := &t.tally
-		row.Worth += tally.Worth() / n
-		row.Worst += tally.WorstSpan(worstSpanSeconds) / n
-		row.Bound += tally.Bound(t.capacity) / n
-		row.Broken = append(row.Broken, t.violations...)
+		row.Benefit += tally.BenefitRatio() / n
+		row.WorstBenefit += tally.WorstBenefitRatio(worstSpanSeconds) / n
+		row.MaxBenefit += tally.MaxBenefitRatio(t.capacity) / n
+		row.Violations = append(row.Violations, t.violations...)
 		for zone, b := range tally.Zones {
-			addBenefit(zones, zone, b.Earned, b.Owed)
+			addBenefit(zones, zone, b.Achieved, b.Possible)
 		}
-		for second, possible := range tally.Owed {
-			addBenefit(seconds, second, tally.Earned[second], possible)
+		for second, possible := range tally.Possible {
+			addBenefit(seconds, second, tally.Achieved[second], possible)
 		}
 		for name, count := range tally.Kinds {
 			if kinds[name] == nil {
-				kinds[name] = &Count{}
+				kinds[name] = &KindCount{}
 			}
 			kinds[name].merge(count)
 		}
 	}
 	for zone, b := range zones {
-		row.Zones[zone] = b.Earned / max(b.Owed, 1e-9)
+		row.BenefitByZone[zone] = b.Achieved / max(b.Possible, 1e-9)
 	}
 	for second := range int(simulations[0].scenario.Length / time.Second) {
 		if b := seconds[second]; b != nil {
-			row.Seconds = append(row.Seconds, b.Earned/max(b.Owed, 1e-9))
+			row.BenefitBySecond = append(row.BenefitBySecond, b.Achieved/max(b.Possible, 1e-9))
 		} else {
-			row.Seconds = append(row.Seconds, 1) // no jobs were sent
+			row.BenefitBySecond = append(row.BenefitBySecond, 1) // no jobs were sent
 		}
 	}
 	for name, c := range kinds {
-		row.Kinds[name] = KindRow{
-			Asked: c.Asked, InTime: c.InTime, Late: c.Late, Refused: c.Refused, Failed: c.Failed + c.Unknown,
-			Worth: c.Earned / max(c.Owed, 1e-9), P50: c.Quantile(0.5), P99: c.Quantile(0.99),
+		row.Kinds[name] = KindResult{
+			Sent: c.Sent, InTime: c.InTime, Late: c.Late, Refused: c.Refused, Failed: c.Failed + c.Unknown,
+			Benefit: c.Achieved / max(c.Possible, 1e-9), P50: c.ResponseTimeQuantile(0.5), P99: c.ResponseTimeQuantile(0.99),
 		}
 	}
 	return row
@@ -60,7 +60,7 @@
 	n := float64(len(simulations))
 	squareSum := 0.0
 	for i, t := range simulations {
-		difference := t.tally.Worth() - base[i].tally.Worth()
+		difference := t.tally.BenefitRatio() - base[i].tally.BenefitRatio()
 		gain += difference / n
 		squareSum += difference * difference / n
 	}
@@ -70,38 +70,38 @@
 	return gain, deviations * math.Sqrt(max(squareSum-gain*gain, 0)/(n-1))
 }
 
-func addBenefit[K comparable](balances map[K]*Balance, key K, achieved, possible float64) {
+func addBenefit[K comparable](balances map[K]*Benefit, key K, achieved, possible float64) {
 	if balances[key] == nil {
-		balances[key] = &Balance{}
+		balances[key] = &Benefit{}
 	}
-	balances[key].Earned += achieved
-	balances[key].Owed += possible
+	balances[key].Achieved += achieved
+	balances[key].Possible += possible
 }
 
 // merge adds the counts of another simulation.
-func (n *Count) merge(other *Count) {
-	n.Asked += other.Asked
+func (n *KindCount) merge(other *KindCount) {
+	n.Sent += other.Sent
 	n.InTime += other.InTime
 	n.Late += other.Late
 	n.Refused += other.Refused
 	n.Failed += other.Failed
 	n.Unknown += other.Unknown
-	n.Earned += other.Earned
-	n.Owed += other.Owed
-	n.Took = append(n.Took, other.Took...)
+	n.Achieved += other.Achieved
+	n.Possible += other.Possible
+	n.ResponseTimes = append(n.ResponseTimes, other.ResponseTimes...)
 }
 
 // capacity returns the work in core-seconds that the targets can do until the last moment
 // at which an answer can be in time.
-func (w *World) capacity() float64 {
+func (sim *Simulation) capacity() float64 {
 	cores := 0.0
-	for _, name := range w.targetIDs {
-		t := w.targets[name]
+	for _, name := range sim.targetIDs {
+		t := sim.targets[name]
 		cores += float64(t.entry.Capacity.CPU) / milliPerCore / t.slow
 	}
 	maxObjective := time.Duration(0)
-	for _, c := range w.clients {
+	for _, c := range sim.clients {
 		maxObjective = max(maxObjective, c.objective)
 	}
-	return cores * (w.Length + maxObjective).Seconds()
+	return cores * (sim.LoadDuration + maxObjective).Seconds()
 }
--- a/internal/modeler/target.go
+++ b/internal/modeler/target.go
@@ -9,7 +9,7 @@
 
 // target is a simulated target with leases, a fencing token and a limited capacity.
 type target struct {
-	world       *World
+	sim         *Simulation
 	entry       router.Target
 	slow        float64 // factor of run times
 	up          bool
@@ -49,20 +49,20 @@
 // orderHandler executes an order at a target and returns the result.
 type orderHandler func() router.StartResult
 
-func (w *World) addTarget(id, zone string, index int) {
-	capacity, slow, label := w.Layout.Room, 1.0, "a"
+func (sim *Simulation) addTarget(id, zone string, index int) {
+	capacity, slow, label := sim.Size.TargetCapacity, 1.0, "a"
 	if index%3 == 2 {
 		capacity.CPU, capacity.Memory = capacity.CPU*3/2, capacity.Memory*3/2
-		slow, label = w.Layout.SlowFactor, "b"
+		slow, label = sim.Size.SlowFactor, "b"
 	}
 	t := &target{
-		world: w, slow: slow, drift: (w.random.Float64() - 0.5) * 0.04,
+		sim: sim, slow: slow, drift: (sim.random.Float64() - 0.5) * 0.04,
 		entry: router.Target{
 			ID: id, Address: "10.128.0.1:1", Service: "work", Zone: zone, Capacity: capacity, Labels: []string{label, "rack"},
 		},
 	}
-	w.targets[id] = t
-	w.targetIDs = append(w.targetIDs, id)
+	sim.targets[id] = t
+	sim.targetIDs = append(sim.targetIDs, id)
 	t.startProcess()
 }
 
@@ -71,9 +71,9 @@
 	t.incarnation++
 	t.token, t.leaseEnd, t.lastEndNumber, t.used = 0, time.Time{}, 0, router.Resources{}
 	t.runs, t.closedRuns, t.unackedEnds, t.waitingRenewals = make(map[string]*run), make(map[string]int), nil, nil
-	t.entry.StartedAt = t.world.now.UnixMilli()
+	t.entry.StartedAt = t.sim.now.UnixMilli()
 	t.entry.Draining = false
-	t.world.store.listTarget(t)
+	t.sim.store.listTarget(t)
 }
 
 // kill ends the target and all its runs. The store drops its entry after 4 s unless it has
@@ -82,19 +82,19 @@
 	t.up = false
 	t.incarnation++
 	for _, r := range t.runs {
-		t.world.recordEnd(t, r)
+		t.sim.recordEnd(t, r)
 	}
 	t.runs = make(map[string]*run)
-	t.world.schedule(4*time.Second, func() {
+	t.sim.schedule(4*time.Second, func() {
 		if !t.up {
-			t.world.store.unlistTarget(t)
+			t.sim.store.unlistTarget(t)
 		}
 	})
 }
 
 // clock returns the reading of the target's monotonic clock, which drifts, in milliseconds.
 func (t *target) clock() int64 {
-	elapsed := float64(t.world.now.Sub(time.Unix(epoch, 0))) * (1 + t.drift)
+	elapsed := float64(t.sim.now.Sub(time.Unix(epoch, 0))) * (1 + t.drift)
 	return int64(elapsed) / int64(time.Millisecond)
 }
 
@@ -105,12 +105,12 @@
 		return
 	}
 	remaining := time.Duration(until-t.clock()) * time.Millisecond
-	remaining = min(remaining, t.world.Bounds.LeaseDuration)
-	if end := t.world.now.Add(time.Duration(float64(remaining) / (1 + t.drift))); end.After(t.leaseEnd) {
+	remaining = min(remaining, t.sim.Bounds.LeaseDuration)
+	if end := t.sim.now.Add(time.Duration(float64(remaining) / (1 + t.drift))); end.After(t.leaseEnd) {
 		t.leaseEnd = end
 		incarnation := t.incarnation
-		t.world.schedule(end.Sub(t.world.now), func() {
-			if t.incarnation == incarnation && !t.world.now.Before(t.leaseEnd) {
+		t.sim.schedule(end.Sub(t.sim.now), func() {
+			if t.incarnation == incarnation && !t.sim.now.Before(t.leaseEnd) {
 				t.expireLease()
 			}
 		})
@@ -142,7 +142,7 @@
 
 func (t *target) handleStart(h *host, e router.Start) orderHandler {
 	return func() router.StartResult {
-		w := t.world
+		sim := t.sim
 		switch {
 		case !t.acceptToken(e.Token):
 			return router.Fenced
@@ -156,13 +156,13 @@
 			return router.OrderExpired
 		}
 		t.extendLease(e.LeaseEnd)
-		job := w.jobOf(e.Task)
+		job := sim.jobOf(e.Task)
 		need := job.Need
 		if !t.entry.Capacity.Minus(t.used).Fits(need) {
 			return router.NoCapacity
 		}
-		w.recordStart(t, h, e)
-		r := &run{task: e.Task, number: e.Run, need: need, startedAt: w.now, duration: w.runTimeOf(e.Task, t)}
+		sim.recordStart(t, h, e)
+		r := &run{task: e.Task, number: e.Run, need: need, startedAt: sim.now, duration: sim.runTimeOf(e.Task, t)}
 		t.runs[e.Task] = r
 		t.used = addResources(t.used, need)
 		t.scheduleEnd(r)
@@ -172,7 +172,7 @@
 
 // scheduleEnd schedules the end of a run according to the mode of the target.
 func (t *target) scheduleEnd(r *run) {
-	w := t.world
+	sim := t.sim
 	reason, duration := router.EndDone, r.duration
 	switch t.mode {
 	case failing:
@@ -183,7 +183,7 @@
 		duration *= 6
 		r.duration = duration
 	}
-	w.schedule(duration, func() {
+	sim.schedule(duration, func() {
 		if t.runs[r.task] == r {
 			t.endRun(r, reason)
 		}
@@ -205,9 +205,9 @@
 	t.closedRuns[r.task] = max(t.closedRuns[r.task], r.number)
 	t.lastEndNumber++
 	t.unackedEnds = append(t.unackedEnds, router.End{Number: t.lastEndNumber, Task: r.task, Run: r.number, Reason: reason})
-	t.world.recordEnd(t, r)
+	t.sim.recordEnd(t, r)
 	if reason == router.EndDone {
-		t.world.recordFinishedTask(r.task)
+		t.sim.recordFinishedTask(r.task)
 	}
 	waiting := t.waitingRenewals
 	t.waitingRenewals = nil
@@ -223,7 +223,7 @@
 		}
 		t.closedRuns[e.Task] = max(t.closedRuns[e.Task], e.Run)
 		if r := t.runs[e.Task]; r != nil && r.number <= e.Run {
-			t.world.schedule(t.world.Bounds.StopDuration/2, func() { t.endRun(r, router.EndStopped) })
+			t.sim.schedule(t.sim.Bounds.StopDuration/2, func() { t.endRun(r, router.EndStopped) })
 		}
 		return router.Running
 	}
@@ -243,7 +243,7 @@
 	for _, r := range t.sortedRuns() {
 		percent := 0.0
 		if t.mode != hanging {
-			percent = min(99, float64(t.world.now.Sub(r.startedAt))/float64(r.duration)*100)
+			percent = min(99, float64(t.sim.now.Sub(r.startedAt))/float64(r.duration)*100)
 		}
 		answer.Running = append(answer.Running, router.RunningTask{Task: r.task, Run: r.number, Percent: float64(int(percent))})
 	}
@@ -251,7 +251,7 @@
 }
 
 // sendOrder simulates an order: its way to the target, its execution, and the answer.
-func (w *World) sendOrder(h *host, to router.Target, timeout time.Duration, handlerOf func(*target) orderHandler, reply func(router.StartResult, router.Reading) router.Event) {
+func (sim *Simulation) sendOrder(h *host, to router.Target, timeout time.Duration, handlerOf func(*target) orderHandler, reply func(router.StartResult, router.Reading) router.Event) {
 	answered := false
 	answer := func(result router.StartResult, clock router.Reading) {
 		if !answered {
@@ -260,39 +260,41 @@
 		}
 	}
 	h.schedule(timeout, func() { answer(router.NoAnswer, router.Reading{}) })
-	t := w.targets[to.ID]
-	if t == nil || !w.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
+	t := sim.targets[to.ID]
+	if t == nil || !sim.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
 		return
 	}
-	delay := w.delay(h.zone, t.entry.Zone)
-	if w.random.Float64() < w.Lost {
+	delay := sim.delay(h.zone, t.entry.Zone)
+	if sim.random.Float64() < sim.LateOrderShare {
 		incarnation := t.incarnation
-		w.schedule(delay+time.Duration(2+w.random.IntN(10))*time.Second, func() {
+		sim.schedule(delay+time.Duration(2+sim.random.IntN(10))*time.Second, func() {
 			if t.up && t.incarnation == incarnation {
 				handlerOf(t)()
 			}
 		})
 		return
 	}
-	w.schedule(delay, func() {
+	sim.schedule(delay, func() {
 		if !t.up {
 			h.schedule(delay, func() { answer(router.NotSent, router.Reading{}) })
 			return
 		}
 		result := handlerOf(t)()
 		millis := t.clock()
-		if w.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) && !w.dropsAnswer() {
-			h.schedule(delay, func() { answer(result, router.Reading{Millis: millis, At: w.now}) })
+		if sim.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) && !sim.dropsAnswer() {
+			h.schedule(delay, func() { answer(result, router.Reading{Millis: millis, At: sim.now}) })
 		}
 	})
 }
 
 // dropsAnswer draws whether the answer to an order or a renewal is lost.
-func (w *World) dropsAnswer() bool { return w.Mute > 0 && w.random.Float64() < w.Mute }
+func (sim *Simulation) dropsAnswer() bool {
+	return sim.LostAnswerShare > 0 && sim.random.Float64() < sim.LostAnswerShare
+}
 
 // sendRenewal simulates a renewal, whose answer may wait for the end of a run.
-func (w *World) sendRenewal(h *host, e router.Renew) {
-	sentAt := w.now
+func (sim *Simulation) sendRenewal(h *host, e router.Renew) {
+	sentAt := sim.now
 	answered := false
 	answer := func(event router.RenewAnswered) {
 		if !answered {
@@ -303,12 +305,12 @@
 	h.schedule(e.Timeout, func() {
 		answer(router.RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: sentAt, Poll: e.Poll, Result: router.NoAnswer})
 	})
-	t := w.targets[e.Target.ID]
-	if t == nil || !w.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
+	t := sim.targets[e.Target.ID]
+	if t == nil || !sim.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
 		return
 	}
-	delay := w.delay(h.zone, t.entry.Zone)
-	w.schedule(delay, func() {
+	delay := sim.delay(h.zone, t.entry.Zone)
+	sim.schedule(delay, func() {
 		if !t.up {
 			return
 		}
@@ -320,13 +322,13 @@
 		}
 		t.extendLease(e.LeaseEnd)
 		reply := func() {
-			if !w.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) || w.dropsAnswer() {
+			if !sim.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) || sim.dropsAnswer() {
 				return
 			}
 			event := t.renewalAnswer(e, sentAt)
 			millis := t.clock()
 			h.schedule(delay, func() {
-				event.Clock = router.Reading{Millis: millis, At: w.now}
+				event.Clock = router.Reading{Millis: millis, At: sim.now}
 				answer(event)
 			})
 		}
@@ -353,17 +355,17 @@
 		}
 	}
 	t.waitingRenewals = append(t.waitingRenewals, replyOnce)
-	t.world.schedule(e.Wait, replyOnce)
+	t.sim.schedule(e.Wait, replyOnce)
 }
 
 // recordStart records the start of a run and checks that the task has no other run.
-func (w *World) recordStart(t *target, h *host, e router.Start) {
-	if at := w.runningTasks[e.Task]; at != "" {
-		w.recordViolation("two runs of %s: at %s, and run %d at %s by %s", e.Task, at, e.Run, t.entry.ID, h.name)
+func (sim *Simulation) recordStart(t *target, h *host, e router.Start) {
+	if at := sim.runningTasks[e.Task]; at != "" {
+		sim.recordViolation("two runs of %s: at %s, and run %d at %s by %s", e.Task, at, e.Run, t.entry.ID, h.name)
 	}
-	w.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, w.now.Sub(w.start).Seconds())
-	w.startCounts[jobID(e.Task)]++
-	w.Tally.Starts++
+	sim.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, sim.now.Sub(sim.start).Seconds())
+	sim.startCounts[jobID(e.Task)]++
+	sim.Results.Starts++
 }
 
-func (w *World) recordEnd(_ *target, r *run) { delete(w.runningTasks, r.task) }
+func (sim *Simulation) recordEnd(_ *target, r *run) { delete(sim.runningTasks, r.task) }
--- a/internal/operator/survey.go
+++ b/internal/operator/survey.go
@@ -32,9 +32,9 @@
 	Problem string            `json:"problem,omitempty"`
 }
 
-// ReadAll reads the status of all hosts concurrently. The findings are in the order of Hosts.
+// ReadAll reads the status of all hosts concurrently. The answers are in the order of Hosts.
 func (s *HostClient) ReadAll(ctx context.Context) []HostStatus {
-	return asker.Asker[HostStatus](s.queryHost).All(ctx, s.Hosts)
+	return asker.QueryFunc[HostStatus](s.queryHost).QueryAll(ctx, s.Hosts)
 }
 
 // queryHost reads the status of one host.
@@ -83,9 +83,9 @@
 	return response.Body.Close()
 }
 
-// WaitForVersion polls the hosts until each has at least the given version active or the context is
-// done. After each round it calls progress with the number of these hosts and of all hosts.
-// It returns the findings of the hosts that do not have the version.
+// WaitForVersion polls the hosts until each has at least the given version active or the
+// context is done. After each round it calls progress with the number of these hosts and of
+// all hosts. It returns the state of the hosts that do not have the version.
 func (s *HostClient) WaitForVersion(ctx context.Context, version uint64, progress func(updated, all int)) []HostStatus {
 	const pollInterval = 200 * time.Millisecond
 	for {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -107,7 +107,7 @@
 // scheduler has halted.
 func (r *Runner) step(e scheduler.Event) bool {
 	if f, ok := e.(scheduler.Finish); ok {
-		r.Meter.Finish(f.Result)
+		r.Meter.CountEnd(f.Result)
 	}
 	now := r.Clock.Now()
 	effects := r.Scheduler.Step(now, e)
@@ -115,7 +115,7 @@
 	r.refreshView(e)
 	halted := false
 	for _, effect := range effects {
-		r.Meter.Effect(effect)
+		r.Meter.CountEffect(effect)
 		if _, ok := effect.(scheduler.Halt); ok {
 			halted = true
 			continue
@@ -139,7 +139,7 @@
 	if v.Config != nil {
 		version = v.Config.Version
 	}
-	r.Meter.Version.Set(float64(version))
+	r.Meter.ConfigVersion.Set(float64(version))
 	r.Follower.Know(version, v.Directory.Version, v.Hosts)
 	r.Reporter.Hold(v.Config, v.Directory)
 	if _, located := e.(scheduler.Locate); located {
@@ -223,14 +223,14 @@
 	for _, d := range e.Report.Demands {
 		waiting += d.Waiting
 	}
-	r.Meter.Waiting.Set(float64(waiting))
-	r.Meter.Open.Set(float64(r.Scheduler.Open()))
+	r.Meter.WaitingTasks.Set(float64(waiting))
+	r.Meter.OpenJobs.Set(float64(r.Scheduler.Open()))
 	age, known := r.Follower.Age()
 	if !known {
-		r.Meter.Age.Set(-1)
+		r.Meter.PlatformAge.Set(-1)
 		return
 	}
-	r.Meter.Age.Set(age.Seconds())
+	r.Meter.PlatformAge.Set(age.Seconds())
 }
 
 // connectionLimits returns the connection limits of a service.
