--- a/cmd/shallotctl/main_test.go
+++ b/cmd/shallotctl/main_test.go
@@ -24,19 +24,19 @@
 
 // session is a deployment and a folder for the files of a test.
 type session struct {
-	*stager.Stage
+	*stager.Deployment
 	t     *testing.T
 	dir   string
 	hosts string
 }
 
 func newSession(t *testing.T) *session {
-	s := &stager.Stage{Zones: []string{"z"}, Hosts: []int{2}, Targets: 2, Slots: 2, Clients: []string{"comites"}, Log: logr.Discard()}
+	s := &stager.Deployment{Zones: []string{"z"}, Hosts: []int{2}, Targets: 2, Slots: 2, Clients: []string{"comites"}, Log: logr.Discard()}
 	require.NoError(t, s.Start(t.Context()))
 	t.Cleanup(s.Close)
 	t.Setenv("SHALLOTROUTER_OPERATOR", "operator-token")
 	t.Setenv("SHALLOTROUTER_TOKEN", "comites-token")
-	return &session{Stage: s, t: t, dir: t.TempDir(), hosts: "http://" + s.Nodes[0].Address + ",http://" + s.Nodes[1].Address}
+	return &session{Deployment: s, t: t, dir: t.TempDir(), hosts: "http://" + s.Nodes[0].Address + ",http://" + s.Nodes[1].Address}
 }
 
 // writeFile writes a file and returns its path.
@@ -128,7 +128,7 @@
 
 	code, _, errors = runTool("drain", "-hosts", s.hosts, "host", "z-h1")
 	require.Equal(t, 0, code, errors)
-	<-s.Nodes[1].Ended()
+	<-s.Nodes[1].Done()
 	code, _, errors = runTool("drain", "-hosts", s.hosts, "host", "nobody")
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, errors, "no host named nobody")
--- a/cmd/shallotrouter/node.go
+++ b/cmd/shallotrouter/node.go
@@ -37,18 +37,18 @@
 		return exitUsage
 	}
 	if check {
-		return printSettings(os.Stdout, settings.Settings)
+		return printSettings(os.Stdout, settings.Values)
 	}
 	debug.SetGCPercent(gcPercent)
 	metrics := meter.NewHost()
-	queue := &logger.Queue{Output: os.Stdout, MaxBytes: settings.Buffer, OnDrop: metrics.Omitted.Inc}
+	queue := &logger.Queue{Output: os.Stdout, MaxBytes: settings.LogBufferBytes, OnDrop: metrics.Omitted.Inc}
 	queue.Init()
 	writerContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go (&logWriter{queue: queue}).run(writerContext)
 	defer queue.Flush()
 	log := logger.New(queue, settings.Verbosity).WithValues("host", settings.Name)
-	for _, s := range settings.Settings {
+	for _, s := range settings.Values {
 		log.Info("setting", "section", s.Section, "key", s.Key, "value", s.Value, "origin", s.Origin())
 	}
 	n := &assembler.Node{Settings: settings, Clock: clocker.NewBootClock(clockwork.NewRealClock()), Log: log, Meter: metrics}
--- a/example_test.go
+++ b/example_test.go
@@ -13,8 +13,8 @@
 
 // startDeployment starts a deployment for the examples: one host and two stand-in
 // targets that echo their payload.
-func startDeployment() (*stager.Stage, *shallotrouter.Client) {
-	s := &stager.Stage{Zones: []string{"z"}, Hosts: []int{1}, Targets: 2, Slots: 8, Clients: []string{"comites"}, Log: logr.Discard()}
+func startDeployment() (*stager.Deployment, *shallotrouter.Client) {
+	s := &stager.Deployment{Zones: []string{"z"}, Hosts: []int{1}, Targets: 2, Slots: 8, Clients: []string{"comites"}, Log: logr.Discard()}
 	if err := s.Start(context.Background()); err != nil {
 		panic(err)
 	}
--- a/examples/loopback/main.go
+++ b/examples/loopback/main.go
@@ -60,9 +60,9 @@
 
 // measure runs the scenario and prints its row.
 func (c scenario) measure(w *tabwriter.Writer, duration time.Duration) error {
-	s := &stager.Stage{
+	s := &stager.Deployment{
 		Zones: []string{"z"}, Hosts: []int{3}, Targets: targets, Slots: slots, Clients: []string{"small", "flood"},
-		Log: logr.Discard(), Order: c.orderLine,
+		Log: logr.Discard(), ServiceLines: c.orderLine,
 	}
 	if err := s.Start(context.Background()); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	group.Wait()
 	slices.Sort(g.slowdowns)
 	startedTwice := 0
-	for _, n := range s.Starts() {
+	for _, n := range s.StartCounts() {
 		if n > 1 {
 			startedTwice++
 		}
@@ -98,7 +98,7 @@
 
 // loadGenerator submits jobs and collects the slowdowns of the small client's jobs.
 type loadGenerator struct {
-	stage     *stager.Stage
+	stage     *stager.Deployment
 	group     *sync.WaitGroup
 	mutex     sync.Mutex
 	random    *rand.Rand
--- a/examples/quickstart/main.go
+++ b/examples/quickstart/main.go
@@ -34,7 +34,7 @@
 
 // runDemo starts the deployment, submits the jobs and prints the table.
 func runDemo(out *os.File) error {
-	s := &stager.Stage{
+	s := &stager.Deployment{
 		Zones: []string{"bogota-norte", "medellin-sur"}, Hosts: []int{2, 1}, Targets: 3, Slots: 8,
 		Clients: []string{"comites", "cruzroja", "puertos"}, Log: logr.Discard(),
 	}
--- a/internal/assembler/daemon.go
+++ b/internal/assembler/daemon.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	web := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: d.Settings.Read,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: d.Settings.ReadTimeout,
 		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	s := &httpServer{server: web, listener: listener, serveErrors: make(chan error, 1)}
@@ -145,9 +145,9 @@
 		return err
 	case <-d.draining:
 	}
-	d.Log.Info("draining", "bound", d.Settings.Drain.String())
+	d.Log.Info("draining", "bound", d.Settings.ShutdownTimeout.String())
 	d.runner.Put(scheduler.Drain{})
-	timer := d.Clock.NewTimer(d.Settings.Drain)
+	timer := d.Clock.NewTimer(d.Settings.ShutdownTimeout)
 	defer timer.Stop()
 	select {
 	case <-d.runner.Done():
@@ -171,7 +171,7 @@
 	listener := d.Listener
 	if listener == nil {
 		var err error
-		if listener, err = net.Listen("tcp", d.Settings.Listen); err != nil {
+		if listener, err = net.Listen("tcp", d.Settings.ListenAddress); err != nil {
 			return nil, merry.Prepend(err, "the address cannot be opened; free it or change [host] listen")
 		}
 	}
@@ -185,42 +185,42 @@
 // configuration, which is nil without TLS.
 func (d *Daemon) assemble(incarnation uint64) (http.Handler, *tls.Config, error) {
 	settings := d.Settings
-	keys, err := loader.NewKeys(settings.Certificate, settings.Key, settings.Authority, d.Clock)
+	keys, err := loader.LoadCertificate(settings.Certificate, settings.Key, settings.Authority, d.Clock)
 	if err != nil {
 		return nil, nil, err
 	}
-	sealer := &ticketer.Sealer{Key: settings.Secret}
+	sealer := &ticketer.Sealer{Key: settings.PeerKey}
 	seed := rand.New(rand.NewPCG(incarnation, uint64(len(settings.Name))))
 	r := &runner.Runner{
 		Scheduler: &scheduler.Scheduler{
 			Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation, Bounds: settings.Bounds,
 		},
 		Clock: d.Clock, Log: d.Log, Meter: d.meter, Seeds: settings.Peers,
-		Throttle: logger.NewThrottle(d.Log, settings.Lines),
+		Throttle: logger.NewThrottle(d.Log, settings.MaxLogLines),
 	}
 	r.Throttle.OnOmit = d.meter.Omitted.Inc
 	r.Init()
 	r.Dispatcher = &dispatcher.Dispatcher{
 		Clock: d.Clock, Sink: r, Identity: fmt.Sprintf("%s/%x", settings.Name, incarnation),
-		Dial: settings.Dial, Unacked: settings.Unacked, MaxResult: settings.Result,
+		Dial: settings.DialTimeout, Unacked: settings.UnackedTimeout, MaxResult: settings.MaxResultBytes,
 	}
 	r.Reporter = &reporter.Reporter{
-		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.Secret, TLS: keys.Client(), Seed: incarnation, Observe: d.meter.CountReport,
+		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.PeerKey, TLS: keys.ClientConfig(), Seed: incarnation, Observe: d.meter.CountReport,
 		Self: reporter.Hello{Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation},
 	}
 	r.Follower = &follower.Follower{
-		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(settings.Platform, settings.Timeout), Zone: settings.Zone, Sink: r,
-		Every: settings.Poll, Slowest: settings.PollSlowest, Random: seed, Observe: d.meter.CountPoll,
+		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(settings.PlatformAddress, settings.PlatformTimeout), Zone: settings.Zone, Sink: r,
+		Every: settings.PollInterval, Slowest: settings.MaxPollInterval, Random: seed, Observe: d.meter.CountPoll,
 	}
 	r.Follower.Init()
 	d.runner = r
 	web := &server.Server{
 		Log: d.Log, Runner: r, Meter: d.meter, Sealer: sealer, Peers: r.Reporter,
-		Address: settings.Address, Incarnation: incarnation, Secret: settings.Secret, Operator: settings.Operator,
-		Body: settings.Body, Requests: settings.Requests, Drain: d.Drain,
+		Address: settings.Address, Incarnation: incarnation, Secret: settings.PeerKey, Operator: settings.OperatorTokenHash,
+		Body: settings.MaxBodyBytes, Requests: settings.MaxRequests, Drain: d.Drain,
 		Forwarder: &server.Forwarder{
-			Clock: d.Clock, HTTP: keys.HTTP(settings.Dial), Scheme: keys.Scheme(), Secret: settings.Secret, Ask: forwardTimeout, Seal: sealer.Seal,
+			Clock: d.Clock, HTTP: keys.HTTPClient(settings.DialTimeout), Scheme: keys.Scheme(), Secret: settings.PeerKey, Ask: forwardTimeout, Seal: sealer.Seal,
 		},
 	}
-	return web.Handler(), keys.Server(), nil
+	return web.Handler(), keys.ServerConfig(), nil
 }
--- a/internal/assembler/daemon_test.go
+++ b/internal/assembler/daemon_test.go
@@ -24,9 +24,9 @@
 func TestHostsServeAndForwardOverTLS(t *testing.T) {
 	certificate, key, err := faker.WritePair(t.TempDir(), 1)
 	require.NoError(t, err)
-	s := &stager.Stage{
+	s := &stager.Deployment{
 		Zones: []string{"z"}, Hosts: []int{2}, Targets: 1, Slots: 2, Clients: []string{"comites"}, Log: logr.Discard(),
-		Settings: fmt.Sprintf("certificate = %s\nkey = %s\nauthority = %s\n", certificate, key, certificate),
+		ExtraSettings: fmt.Sprintf("certificate = %s\nkey = %s\nauthority = %s\n", certificate, key, certificate),
 	}
 	require.NoError(t, s.Start(t.Context()), "the hosts must connect to each other")
 	defer s.Close()
--- a/internal/assembler/node.go
+++ b/internal/assembler/node.go
@@ -74,18 +74,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	settings := n.Settings
-	self := router.Member{Name: settings.Name, Zone: settings.Zone, Address: settings.Links, Incarnation: n.Clock.Now().UnixNano(), CPUShare: int(settings.Power * millicoresPerCore), LinkRate: int(settings.Link * kbitPerMbit)}
+	self := router.Member{Name: settings.Name, Zone: settings.Zone, Address: settings.LinkAddress, Incarnation: n.Clock.Now().UnixNano(), CPUShare: int(settings.CPUCores * millicoresPerCore), LinkRate: int(settings.LinkMbits * kbitPerMbit)}
 	d := &driver.Driver{
 		Router: &router.Router{Self: self, Bounds: settings.Bounds, Seeds: settings.Seeds},
-		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, settings.Lines),
+		Clock:  n.Clock, Log: n.Log, Meter: n.Meter, Throttle: logger.NewThrottle(n.Log, settings.MaxLogLines),
 	}
 	d.Throttle.OnOmit = n.Meter.Omitted.Inc
 	d.Init()
-	links := &linker.Linker{Self: settings.Links, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.CountMessage}
+	links := &linker.Linker{Self: settings.LinkAddress, Clock: n.Clock, Log: n.Log, Sink: d, Observe: n.Meter.CountMessage}
 	links.Run(ctx)
 	d.Links = links
 	d.Targets = &platform.Targets{
-		Clock: n.Clock, Log: n.Log, Sink: d, DialTimeout: settings.Dial, UnackedTimeout: settings.Unacked, MaxConnections: settings.Connections, Observe: n.Meter.RecordOrder,
+		Clock: n.Clock, Log: n.Log, Sink: d, DialTimeout: settings.DialTimeout, UnackedTimeout: settings.UnackedTimeout, MaxConnections: settings.MaxConnections, Observe: n.Meter.RecordOrder,
 		Limiter: &limiter.Limiter{Clock: n.Clock, MaxConcurrent: settings.Bounds.MaxOrders, SlotTimeout: settings.Bounds.OrderWindow},
 	}
 	registry := n.newRegistrar(self, d)
@@ -102,7 +102,7 @@
 	}
 	registry.Run(ctx)
 	go (&component{work: d.Run}).run(ctx)
-	n.Log.Info("serving", "zone", settings.Zone, "clients", settings.Clients, "links", settings.Links, "pid", os.Getpid(), "processors", runtime.GOMAXPROCS(0))
+	n.Log.Info("serving", "zone", settings.Zone, "clients", settings.ClientAddress, "links", settings.LinkAddress, "pid", os.Getpid(), "processors", runtime.GOMAXPROCS(0))
 	return n.awaitShutdown(ctx, d, servers, serveErrors)
 }
 
@@ -112,7 +112,7 @@
 		Self: self, Sink: sink, Clock: n.Clock, Log: n.Log,
 		Random: rand.New(rand.NewPCG(uint64(self.Incarnation), xxhash.Sum64String(self.Address))),
 		Store: &platform.Store{
-			Address: settings.Store, Log: n.Log, Client: platform.NewStoreClient(settings.Dial, settings.Unacked),
+			Address: settings.StoreAddress, Log: n.Log, Client: platform.NewStoreClient(settings.DialTimeout, settings.UnackedTimeout),
 			Observe: func(call, result string) { n.Meter.StoreCalls.WithLabelValues(call, result).Inc() },
 		},
 	}
@@ -132,8 +132,8 @@
 		address string
 		key     string
 		handler http.Handler
-	}{{settings.Clients, "clients", frontend.ClientHandler()}, {settings.Probe, "probe", frontend.ReadinessHandler()}, {settings.Links, "links", peerMux}}
-	if settings.Metrics != "" {
+	}{{settings.ClientAddress, "clients", frontend.ClientHandler()}, {settings.ProbeAddress, "probe", frontend.ReadinessHandler()}, {settings.LinkAddress, "links", peerMux}}
+	if settings.MetricsAddress != "" {
 		metricsMux := http.NewServeMux()
 		metricsMux.Handle("GET /metrics", metrics)
 		metricsMux.Handle("GET "+inspector.Path, state)
@@ -141,7 +141,7 @@
 			address string
 			key     string
 			handler http.Handler
-		}{settings.Metrics, "metrics", metricsMux})
+		}{settings.MetricsAddress, "metrics", metricsMux})
 	}
 	var servers []*httpServer
 	for _, e := range endpoints {
--- a/internal/declarer/declarations.go
+++ b/internal/declarer/declarations.go
@@ -144,13 +144,13 @@
 func Parse(file, text string) (*Declarations, error) {
 	doc := parser.Parse(file, text)
 	d := &Declarations{}
-	for _, name := range doc.Names("service") {
+	for _, name := range doc.SectionNames("service") {
 		d.Services = append(d.Services, parseService(doc, name))
 	}
 	if len(d.Services) == 0 {
-		doc.Fault("service NAME", "", "no service is declared", "add a [service NAME] section")
+		doc.AddFault("service NAME", "", "no service is declared", "add a [service NAME] section")
 	}
-	for _, name := range doc.Names("client") {
+	for _, name := range doc.SectionNames("client") {
 		d.Clients = append(d.Clients, parseClient(doc, d, name))
 	}
 	requireDistinctTokens(doc, d.Clients)
@@ -160,7 +160,7 @@
 	drain := doc.Section("drain")
 	d.Targets = holder.NewSet(drain.List("targets")...)
 	d.Hosts = holder.NewSet(drain.List("hosts")...)
-	drain.Close()
+	drain.ReportUnknownKeys()
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 
 func parseService(doc *parser.Document, name string) Service {
 	section := doc.Section("service " + name)
-	defer section.Close()
+	defer section.ReportUnknownKeys()
 	service := Service{
 		Name:        name,
 		Slots:       section.Int("slots", 8, 1, 1024),
@@ -179,10 +179,10 @@
 		Order:       Order(section.Text("order", string(Least))),
 	}
 	if service.Order != First && service.Order != Least {
-		doc.Fault("service "+name, "order", "unknown order", "write first or least")
+		doc.AddFault("service "+name, "order", "unknown order", "write first or least")
 	}
 	if service.Connections < service.Slots {
-		doc.Fault("service "+name, "connections", "fewer than slots", "allow at least one connection a slot")
+		doc.AddFault("service "+name, "connections", "fewer than slots", "allow at least one connection a slot")
 	}
 	return service
 }
@@ -190,19 +190,19 @@
 func parseClient(doc *parser.Document, d *Declarations, name string) Client {
 	section := "client " + name
 	s := doc.Section(section)
-	defer s.Close()
+	defer s.ReportUnknownKeys()
 	client := Client{
 		Name:     name,
-		Hash:     strings.TrimPrefix(s.Need("token", "write sha256: and the SHA-256 of the token in hexadecimal"), "sha256:"),
+		Hash:     strings.TrimPrefix(s.RequiredText("token", "write sha256: and the SHA-256 of the token in hexadecimal"), "sha256:"),
 		Weight:   s.Float("weight", 1, 0.001, 1e6),
 		Services: holder.NewSet(s.List("services")...),
 	}
 	if raw, err := hex.DecodeString(client.Hash); client.Hash != "" && (err != nil || len(raw) != sha256.Size) {
-		doc.Fault(section, "token", "not a SHA-256", "write sha256: and 64 hexadecimal digits, never the token itself")
+		doc.AddFault(section, "token", "not a SHA-256", "write sha256: and 64 hexadecimal digits, never the token itself")
 	}
 	for _, name := range client.Services.Sorted() {
 		if _, ok := d.Service(name); !ok {
-			doc.Fault(section, "services", "service "+name+" is not declared", "declare it, or correct its name")
+			doc.AddFault(section, "services", "service "+name+" is not declared", "declare it, or correct its name")
 		}
 	}
 	return client
@@ -212,7 +212,7 @@
 	seen := make(map[string]string, len(clients))
 	for _, c := range clients {
 		if other, ok := seen[c.Hash]; ok && c.Hash != "" {
-			doc.Fault("client "+c.Name, "token", "the token of client "+other, "give each client a token of its own")
+			doc.AddFault("client "+c.Name, "token", "the token of client "+other, "give each client a token of its own")
 		}
 		seen[c.Hash] = c.Name
 	}
@@ -220,7 +220,7 @@
 
 func parsePreset(doc *parser.Document, name Name) Preset {
 	section := doc.Section("preset " + string(name))
-	defer section.Close()
+	defer section.ReportUnknownKeys()
 	preset := defaultPreset(name)
 	preset.Admit = section.Bool("admit", preset.Admit)
 	preset.Queue = section.Int("queue", preset.Queue, 1, 1_000_000)
--- a/internal/loader/keys.go
+++ b/internal/loader/keys.go
@@ -17,9 +17,9 @@
 // checked for changes.
 const certificateCheckInterval = 10 * time.Second
 
-// Keys holds the TLS certificate of a daemon and reloads it when its file changes. It
+// Certificate holds the TLS certificate of a daemon and reloads it when its file changes. It
 // is safe for concurrent use.
-type Keys struct {
+type Certificate struct {
 	certificatePath string
 	keyPath         string
 	rootCAs         *x509.CertPool
@@ -31,10 +31,10 @@
 	checkedAt  time.Time
 }
 
-// NewKeys loads the PEM files at the given paths. TLS is off if certificatePath is empty.
+// LoadCertificate loads the PEM files at the given paths. TLS is off if certificatePath is empty.
 // If authorityPath is empty, clients trust the system's root certificates.
-func NewKeys(certificatePath, keyPath, authorityPath string, clock clockwork.Clock) (*Keys, error) {
-	k := &Keys{certificatePath: certificatePath, keyPath: keyPath, clock: clock}
+func LoadCertificate(certificatePath, keyPath, authorityPath string, clock clockwork.Clock) (*Certificate, error) {
+	k := &Certificate{certificatePath: certificatePath, keyPath: keyPath, clock: clock}
 	if certificatePath == "" {
 		return k, nil
 	}
@@ -54,7 +54,7 @@
 
 // currentCertificate returns the certificate and first reloads it if its file has
 // changed. If the new file cannot be loaded, the old certificate stays in use.
-func (k *Keys) currentCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (k *Certificate) currentCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.clock.Now()
@@ -79,16 +79,16 @@
 	return k.loaded, nil
 }
 
-// Server returns the TLS configuration of a server, or nil if TLS is off.
-func (k *Keys) Server() *tls.Config {
+// ServerConfig returns the TLS configuration of a server, or nil if TLS is off.
+func (k *Certificate) ServerConfig() *tls.Config {
 	if k.certificatePath == "" {
 		return nil
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.currentCertificate}
 }
 
-// Client returns the TLS configuration of a client, or nil if TLS is off.
-func (k *Keys) Client() *tls.Config {
+// ClientConfig returns the TLS configuration of a client, or nil if TLS is off.
+func (k *Certificate) ClientConfig() *tls.Config {
 	if k.certificatePath == "" {
 		return nil
 	}
@@ -96,20 +96,20 @@
 }
 
 // Scheme returns the URL scheme: https if TLS is on, else http.
-func (k *Keys) Scheme() string {
+func (k *Certificate) Scheme() string {
 	if k.certificatePath == "" {
 		return "http"
 	}
 	return "https"
 }
 
-// HTTP returns a client for requests to other entry hosts. It does not follow
+// HTTPClient returns a client for requests to other entry hosts. It does not follow
 // redirects; dialTimeout limits the time to connect.
-func (k *Keys) HTTP(dialTimeout time.Duration) *http.Client {
+func (k *Certificate) HTTPClient(dialTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			TLSClientConfig: k.Client(),
+			TLSClientConfig: k.ClientConfig(),
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
--- a/internal/loader/node.go
+++ b/internal/loader/node.go
@@ -13,44 +13,44 @@
 	// Name is the host's name, unique in the deployment, and Zone its availability zone.
 	Name string
 	Zone string
-	// Power is the host's processor share in cores. Hosts with a larger share are
+	// CPUCores is the host's processor share in cores. Hosts with a larger share are
 	// preferred as holders of the targets of a zone.
-	Power float64
-	// Link is the rate of the host's network link in Mbit/s; 0 means unknown.
-	Link float64
-	// Clients, Probe, Links and Metrics are the addresses on which the daemon listens
-	// for clients, the load balancer, other entry hosts and monitoring. If Metrics is
-	// empty, the metrics are served at Probe.
-	Clients string
-	Probe   string
-	Links   string
-	Metrics string
-	// Seeds are the Links addresses of some other entry hosts, through which the host
+	CPUCores float64
+	// LinkMbits is the rate of the host's network link in Mbit/s; 0 means unknown.
+	LinkMbits float64
+	// ClientAddress, ProbeAddress, LinkAddress and MetricsAddress are the addresses on
+	// which the daemon listens for clients, the load balancer, other entry hosts and
+	// monitoring. If MetricsAddress is empty, the metrics are served at ProbeAddress.
+	ClientAddress  string
+	ProbeAddress   string
+	LinkAddress    string
+	MetricsAddress string
+	// Seeds are the link addresses of some other entry hosts, through which the host
 	// finds the rest. They may be out of date.
 	Seeds []string
-	// Store is the address of the platform's store.
-	Store string
-	// Dial limits the time to connect to a target or the store, and Unacked the time
-	// for which sent bytes may stay unacknowledged.
-	Dial    time.Duration
-	Unacked time.Duration
-	// Connections is the maximum number of open connections to one target.
-	Connections int
-	// Verbosity is the level of detail of the log, Lines the maximum number of
-	// logged decisions per second, and Buffer the maximum number of bytes that wait
-	// to be written.
-	Verbosity int
-	Lines     int
-	Buffer    int
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
+	// DialTimeout limits the time to connect to a target or the store, and UnackedTimeout
+	// the time for which sent bytes may stay unacknowledged.
+	DialTimeout    time.Duration
+	UnackedTimeout time.Duration
+	// MaxConnections is the maximum number of open connections to one target.
+	MaxConnections int
+	// Verbosity is the level of detail of the log, MaxLogLines the maximum number of
+	// logged decisions per second, and LogBufferBytes the maximum number of bytes that
+	// wait to be written.
+	Verbosity      int
+	MaxLogLines    int
+	LogBufferBytes int
 	// Bounds are the limits of the router.
 	Bounds router.Bounds
-	// Settings are the effective values and where each comes from.
-	Settings []parser.Setting
+	// Values are the effective values and where each comes from.
+	Values []parser.Setting
 }
 
 // IsNode reports whether INI text contains the settings of a Node, which have a [node]
 // section. Those of a daemon with its own platform service have none; see Settings.
-func IsNode(text string) bool { return parser.Parse("", text).Has("node") }
+func IsNode(text string) bool { return parser.Parse("", text).HasSection("node") }
 
 // ParseNode reads settings from INI text. The name of the file is used in error texts.
 // The error is of type parser.Faults and lists every fault.
@@ -65,22 +65,22 @@
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	v.Settings = doc.Settings()
+	v.Values = doc.Settings()
 	return v, nil
 }
 
 func (v *Node) readNode(doc *parser.Document) {
 	s := doc.Section("node")
-	defer s.Close()
-	v.Name = s.Need("name", "give the host a name that is unique in the deployment")
-	v.Zone = s.Need("zone", "name the host's availability zone")
-	v.Power = s.Float("power", 1, 0.001, 1024)
-	v.Link = s.Float("link", 0, 0, 1_000_000)
-	v.Clients = s.Need("clients", "write the address for clients, such as 127.0.0.1:7100")
-	v.Probe = s.Need("probe", "write the address for the load balancer, such as 127.0.0.1:7101")
-	v.Links = s.Need("links", "write the address for other entry hosts, such as 127.0.0.1:7102")
-	v.Metrics = s.Text("metrics", "")
-	for key, address := range map[string]string{"clients": v.Clients, "probe": v.Probe, "links": v.Links, "metrics": v.Metrics} {
+	defer s.ReportUnknownKeys()
+	v.Name = s.RequiredText("name", "give the host a name that is unique in the deployment")
+	v.Zone = s.RequiredText("zone", "name the host's availability zone")
+	v.CPUCores = s.Float("power", 1, 0.001, 1024)
+	v.LinkMbits = s.Float("link", 0, 0, 1_000_000)
+	v.ClientAddress = s.RequiredText("clients", "write the address for clients, such as 127.0.0.1:7100")
+	v.ProbeAddress = s.RequiredText("probe", "write the address for the load balancer, such as 127.0.0.1:7101")
+	v.LinkAddress = s.RequiredText("links", "write the address for other entry hosts, such as 127.0.0.1:7102")
+	v.MetricsAddress = s.Text("metrics", "")
+	for key, address := range map[string]string{"clients": v.ClientAddress, "probe": v.ProbeAddress, "links": v.LinkAddress, "metrics": v.MetricsAddress} {
 		checkAddress(doc, "node", key, address)
 	}
 	v.Bounds.ShutdownTimeout = s.Duration("grace", v.Bounds.ShutdownTimeout, time.Second, time.Hour)
@@ -89,19 +89,19 @@
 
 func (v *Node) readStore(doc *parser.Document) {
 	s := doc.Section("store")
-	defer s.Close()
-	v.Store = s.Need("address", "write the address of the platform's store")
-	checkAddress(doc, "store", "address", v.Store)
+	defer s.ReportUnknownKeys()
+	v.StoreAddress = s.RequiredText("address", "write the address of the platform's store")
+	checkAddress(doc, "store", "address", v.StoreAddress)
 	v.Bounds.DirectoryInterval = s.Duration("directory", v.Bounds.DirectoryInterval, 10*time.Millisecond, time.Minute)
 }
 
 func (v *Node) readTargets(doc *parser.Document) {
 	s := doc.Section("targets")
-	defer s.Close()
+	defer s.ReportUnknownKeys()
 	b := &v.Bounds
-	v.Dial = s.Duration("dial", 150*time.Millisecond, time.Millisecond, time.Minute)
-	v.Unacked = s.Duration("unacked", 500*time.Millisecond, 10*time.Millisecond, time.Minute)
-	v.Connections = s.Int("connections", 16, 2, 10_000)
+	v.DialTimeout = s.Duration("dial", 150*time.Millisecond, time.Millisecond, time.Minute)
+	v.UnackedTimeout = s.Duration("unacked", 500*time.Millisecond, 10*time.Millisecond, time.Minute)
+	v.MaxConnections = s.Int("connections", 16, 2, 10_000)
 	b.LeaseDuration = s.Duration("lease", b.LeaseDuration, 100*time.Millisecond, time.Minute)
 	b.StopDuration = s.Duration("stop", b.StopDuration, time.Millisecond, time.Minute)
 	b.MaxSharedTargets = s.Int("split", b.MaxSharedTargets, 1, 1_000_000)
@@ -112,7 +112,7 @@
 
 func (v *Node) readMembers(doc *parser.Document) {
 	s := doc.Section("members")
-	defer s.Close()
+	defer s.ReportUnknownKeys()
 	b := &v.Bounds
 	v.Seeds = s.List("seeds")
 	for _, address := range v.Seeds {
@@ -122,18 +122,18 @@
 	b.PeerTimeout = s.Duration("silence", b.PeerTimeout, 20*time.Millisecond, time.Minute)
 	b.OriginTimeout = s.Duration("trust", b.OriginTimeout, 20*time.Millisecond, time.Minute)
 	if b.PeerTimeout < 3*b.HeartbeatInterval {
-		doc.Fault("members", "silence", "shorter than three heartbeats", "raise silence or lower beat")
+		doc.AddFault("members", "silence", "shorter than three heartbeats", "raise silence or lower beat")
 	}
 	if b.OriginTimeout < b.PeerTimeout {
-		doc.Fault("members", "trust", "shorter than silence", "raise trust or lower silence")
+		doc.AddFault("members", "trust", "shorter than silence", "raise trust or lower silence")
 	}
 	b.QuarantineDuration = b.OriginTimeout + b.LeaseDuration + 3*b.StopDuration
 }
 
 func (v *Node) readLog(doc *parser.Document) {
 	s := doc.Section("log")
-	defer s.Close()
+	defer s.ReportUnknownKeys()
 	v.Verbosity = s.Int("verbosity", 0, 0, 9)
-	v.Lines = s.Int("lines", 3000, 1, 1_000_000)
-	v.Buffer = s.Int("buffer", 1<<20, 1<<10, 1<<30)
+	v.MaxLogLines = s.Int("lines", 3000, 1, 1_000_000)
+	v.LogBufferBytes = s.Int("buffer", 1<<20, 1<<10, 1<<30)
 }
--- a/internal/loader/node_test.go
+++ b/internal/loader/node_test.go
@@ -30,7 +30,7 @@
 	v, err := ParseNode("n.ini", nodeText)
 	require.NoError(t, err)
 	settings := make(map[string]parser.Setting)
-	for _, s := range v.Settings {
+	for _, s := range v.Values {
 		settings[s.Section+"."+s.Key] = s
 	}
 	assert.Equal(t, "2s", settings["targets.lease"].Value)
@@ -39,7 +39,7 @@
 	assert.Equal(t, "default", settings["members.beat"].Origin())
 	assert.Equal(t, "1", settings["node.power"].Value)
 	assert.Equal(t, "150", settings["targets.split"].Value)
-	assert.Len(t, v.Settings, len(settings), "each key is listed once")
+	assert.Len(t, v.Values, len(settings), "each key is listed once")
 	assert.Equal(t, 2*time.Second, v.Bounds.LeaseDuration)
 }
 
--- a/internal/modeler/scenario.go
+++ b/internal/modeler/scenario.go
@@ -83,16 +83,16 @@
 	doc := parser.Parse(name, text)
 	v := &Scenario{}
 	s := doc.Section("scenario")
-	v.Site = s.Need("site", "name restrepo or kutchwala")
+	v.Site = s.RequiredText("site", "name restrepo or kutchwala")
 	if v.Site != "" && Sites()[v.Site] == nil {
-		doc.Fault("scenario", "site", "unknown", "name restrepo or kutchwala")
+		doc.AddFault("scenario", "site", "unknown", "name restrepo or kutchwala")
 	}
 	v.Seeds = s.Int("seeds", defaultSeeds, 1, 1000)
 	v.Length = s.Duration("length", defaultLength, time.Second, time.Hour)
 	for _, text := range s.List("loads") {
 		load, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(load > 0 && load <= 10) {
-			doc.Fault("scenario", "loads", fmt.Sprintf("%q is not a valid load", text), "write factors of the default load above 0, up to 10")
+			doc.AddFault("scenario", "loads", fmt.Sprintf("%q is not a valid load", text), "write factors of the default load above 0, up to 10")
 		}
 		v.Loads = append(v.Loads, load)
 	}
@@ -106,14 +106,14 @@
 	}
 	for _, p := range v.Policies {
 		if !slices.Contains(known, p) {
-			doc.Fault("scenario", "policies", fmt.Sprintf("%q is not a known policy", p), "use "+strings.Join(known, ", "))
+			doc.AddFault("scenario", "policies", fmt.Sprintf("%q is not a known policy", p), "use "+strings.Join(known, ", "))
 		}
 	}
 	if len(v.Policies) == 0 {
 		v.Policies = known[:1]
 	}
-	s.Close()
-	for _, number := range doc.Names("fault") {
+	s.ReportUnknownKeys()
+	for _, number := range doc.SectionNames("fault") {
 		v.Faults = append(v.Faults, readFault(doc, "fault "+number))
 	}
 	if err := doc.Err(); err != nil {
@@ -124,14 +124,14 @@
 
 func readFault(doc *parser.Document, section string) Fault {
 	s := doc.Section(section)
-	defer s.Close()
+	defer s.ReportUnknownKeys()
 	f := Fault{
-		Kind: FaultKind(s.Need("trouble", "name a kind of fault, such as cut-zone")), Selector: s.Text("where", ""),
+		Kind: FaultKind(s.RequiredText("trouble", "name a kind of fault, such as cut-zone")), Selector: s.Text("where", ""),
 		At: s.Duration("at", 3*time.Second, 0, time.Hour), Duration: s.Duration("for", 5*time.Second, 0, time.Hour),
 		TargetShare: s.Float("share", 0, 0, 1), RateFactor: s.Float("times", 1, 0, 100),
 	}
 	if f.Kind != "" && !slices.Contains(FaultKinds(), f.Kind) {
-		doc.Fault(section, "trouble", "unknown", "use one of: "+strings.Trim(fmt.Sprint(FaultKinds()), "[]"))
+		doc.AddFault(section, "trouble", "unknown", "use one of: "+strings.Trim(fmt.Sprint(FaultKinds()), "[]"))
 	}
 	return f
 }
--- a/internal/operator/race_test.go
+++ b/internal/operator/race_test.go
@@ -58,7 +58,7 @@
 
 // versionWatcher records when a host's active version decreases.
 type versionWatcher struct {
-	stage       *stager.Stage
+	stage       *stager.Deployment
 	stop        chan struct{}
 	regressions []string
 }
@@ -89,7 +89,7 @@
 // accepted change gets its own version, no daemon goes back to an older version, and all
 // daemons end with the newest.
 func TestConcurrentChanges(t *testing.T) {
-	s := &stager.Stage{
+	s := &stager.Deployment{
 		Zones: []string{"a", "b", "c"}, Hosts: []int{3, 3, 3}, Targets: 1, Slots: 2,
 		Clients: []string{"comites"}, Log: logr.Discard(),
 	}
@@ -128,7 +128,7 @@
 	assert.Positive(t, accepted)
 	newest, err := declarer.Decode(after, value)
 	require.NoError(t, err)
-	require.NoError(t, s.Await(20*time.Second, func() bool {
+	require.NoError(t, s.WaitFor(20*time.Second, func() bool {
 		for _, n := range s.Nodes {
 			c := n.Daemon.Runner().View().Config
 			if c.Version != after || c.Row.Preset != newest.Row.Preset {
--- a/internal/parser/parser.go
+++ b/internal/parser/parser.go
@@ -76,9 +76,9 @@
 	Section string
 	Key     string
 	Value   string
-	// Given reports whether the file sets the value, and Line is the line that sets it;
+	// IsSet reports whether the file sets the value, and Line is the line that sets it;
 	// 0 means unknown.
-	Given bool
+	IsSet bool
 	Line  int
 }
 
@@ -86,7 +86,7 @@
 // or "default".
 func (s Setting) Origin() string {
 	switch {
-	case !s.Given:
+	case !s.IsSet:
 		return "default"
 	case s.Line == 0:
 		return "file"
@@ -108,8 +108,8 @@
 	return d
 }
 
-// Fault adds a fault that the caller has found.
-func (d *Document) Fault(section, key, problem, remedy string) {
+// AddFault adds a fault that the caller has found.
+func (d *Document) AddFault(section, key, problem, remedy string) {
 	d.faults = append(d.faults, Fault{
 		File: d.name, Line: d.findLine(section, key),
 		Section: section, Key: key, Problem: problem, Remedy: remedy,
@@ -124,7 +124,7 @@
 		if empty || slices.Contains(d.knownSections, s.Name()) {
 			continue
 		}
-		d.Fault(s.Name(), "", "unknown section", "remove it, or correct its name")
+		d.AddFault(s.Name(), "", "unknown section", "remove it, or correct its name")
 	}
 	if len(d.faults) == 0 {
 		return nil
@@ -136,9 +136,9 @@
 // if Err returns nil.
 func (d *Document) Settings() []Setting { return d.values }
 
-// Names returns the names of all sections of a kind, in file order: Names("client")
+// SectionNames returns the names of all sections of a kind, in file order: SectionNames("client")
 // returns "a" for [client a].
-func (d *Document) Names(kind string) []string {
+func (d *Document) SectionNames(kind string) []string {
 	var names []string
 	for _, s := range d.file.Sections() {
 		if name, ok := strings.CutPrefix(s.Name(), kind+" "); ok {
@@ -148,8 +148,8 @@
 	return names
 }
 
-// Has reports whether the file contains the section.
-func (d *Document) Has(section string) bool { return d.file.HasSection(section) }
+// HasSection reports whether the file contains the section.
+func (d *Document) HasSection(section string) bool { return d.file.HasSection(section) }
 
 // Section returns a reader for the section. All keys of a section that is not in the
 // file are absent.
@@ -196,17 +196,17 @@
 	s.knownKeys = append(s.knownKeys, key)
 	v := Setting{Section: s.name, Key: key, Value: defaultValue}
 	if s.section.HasKey(key) {
-		v.Value, v.Given, v.Line = s.section.Key(key).String(), true, s.doc.findLine(s.name, key)
+		v.Value, v.IsSet, v.Line = s.section.Key(key).String(), true, s.doc.findLine(s.name, key)
 	}
 	s.doc.values = append(s.doc.values, v)
 	return v.Value
 }
 
-// Need returns the key's value and adds a fault if it is absent or empty.
-func (s *Section) Need(key, remedy string) string {
+// RequiredText returns the key's value and adds a fault if it is absent or empty.
+func (s *Section) RequiredText(key, remedy string) string {
 	value := s.Text(key, "")
 	if value == "" {
-		s.doc.Fault(s.name, key, "missing", remedy)
+		s.doc.AddFault(s.name, key, "missing", remedy)
 	}
 	return value
 }
@@ -250,17 +250,17 @@
 	text := s.Text(key, strconv.FormatBool(defaultValue))
 	value, err := strconv.ParseBool(text)
 	if err != nil {
-		s.doc.Fault(s.name, key, "neither true nor false", "write true or false")
+		s.doc.AddFault(s.name, key, "neither true nor false", "write true or false")
 		return defaultValue
 	}
 	return value
 }
 
-// Close adds a fault for each key of the section that was not read.
-func (s *Section) Close() {
+// ReportUnknownKeys adds a fault for each key of the section that was not read.
+func (s *Section) ReportUnknownKeys() {
 	for _, k := range s.section.Keys() {
 		if !slices.Contains(s.knownKeys, k.Name()) {
-			s.doc.Fault(s.name, k.Name(), "unknown key", "remove it, or use one of: "+strings.Join(s.knownKeys, ", "))
+			s.doc.AddFault(s.name, k.Name(), "unknown key", "remove it, or use one of: "+strings.Join(s.knownKeys, ", "))
 		}
 	}
 }
@@ -274,11 +274,11 @@
 	}
 	value, err := parse(text)
 	if err != nil {
-		s.doc.Fault(s.name, key, fmt.Sprintf("%q cannot be parsed", text), remedy)
+		s.doc.AddFault(s.name, key, fmt.Sprintf("%q cannot be parsed", text), remedy)
 		return defaultValue
 	}
 	if !(value >= low && value <= high) {
-		s.doc.Fault(s.name, key, fmt.Sprintf("%q is out of range", text), remedy)
+		s.doc.AddFault(s.name, key, fmt.Sprintf("%q is out of range", text), remedy)
 		return defaultValue
 	}
 	return value
--- a/internal/stager/stage.go
+++ b/internal/stager/stage.go
@@ -23,9 +23,9 @@
 	"github.com/shallotrouter/shallotrouter/internal/storer"
 )
 
-// Stage is a deployment. Unless noted otherwise, its exported fields must be set before
+// Deployment is a deployment. Unless noted otherwise, its exported fields must be set before
 // Start.
-type Stage struct {
+type Deployment struct {
 	// Zones are the availability zones.
 	Zones []string
 	// Hosts are the numbers of entry hosts of the zones, in the order of Zones, and
@@ -37,19 +37,19 @@
 	// Clients are the names of the declared clients. A client's token is its name
 	// followed by "-token".
 	Clients []string
-	// Order is appended to the service's declaration; it may be empty.
-	Order string
-	// Extra is appended to the declarations.
-	Extra string
-	// Settings is appended to the daemons' settings.
-	Settings string
+	// ServiceLines are appended to the service's declaration; they may be empty.
+	ServiceLines string
+	// ExtraDeclarations are appended to the declarations.
+	ExtraDeclarations string
+	// ExtraSettings are appended to the daemons' settings.
+	ExtraSettings string
 	// Log receives the log of all daemons.
 	Log logr.Logger
 
-	// Platform, Nodes and Backs are set by Start.
-	Platform *faker.Platform
-	Nodes    []*Node
-	Backs    []*Back
+	// Platform, Nodes and TargetServers are set by Start.
+	Platform      *faker.Platform
+	Nodes         []*Node
+	TargetServers []*TargetServer
 
 	platformAddress string
 	closers         []func() error
@@ -69,8 +69,8 @@
 	err    error
 }
 
-// Back is a running stand-in target.
-type Back struct {
+// TargetServer is a running stand-in target.
+type TargetServer struct {
 	Name    string
 	Zone    string
 	Address string
@@ -85,7 +85,7 @@
 
 // Start starts the platform, the targets and the daemons and waits until all daemons
 // are ready.
-func (s *Stage) Start(ctx context.Context) error {
+func (s *Deployment) Start(ctx context.Context) error {
 	s.context, s.cancel = context.WithCancel(ctx)
 	s.Platform = &faker.Platform{}
 	address, err := s.serve(s.Platform.Handler())
@@ -93,7 +93,7 @@
 		return err
 	}
 	s.platformAddress = address
-	if err := s.Apply(declarer.Ordinary); err != nil {
+	if err := s.ApplyPreset(declarer.Ordinary); err != nil {
 		return err
 	}
 	for _, zone := range s.Zones {
@@ -108,11 +108,11 @@
 			}
 		}
 	}
-	return s.Await(startTimeout, func() bool { return s.isReady() })
+	return s.WaitFor(startTimeout, func() bool { return s.isReady() })
 }
 
 // isReady reports whether every daemon serves and knows all hosts of its zone.
-func (s *Stage) isReady() bool {
+func (s *Deployment) isReady() bool {
 	for _, n := range s.Nodes {
 		v := n.Daemon.Runner().View()
 		if v.Phase != scheduler.Serving || v.Hosts != s.Hosts[slices.Index(s.Zones, n.Zone)] {
@@ -122,9 +122,9 @@
 	return true
 }
 
-// Await waits until the condition holds. It returns an error if that takes longer than
+// WaitFor waits until the condition holds. It returns an error if that takes longer than
 // the timeout.
-func (s *Stage) Await(timeout time.Duration, condition func() bool) error {
+func (s *Deployment) WaitFor(timeout time.Duration, condition func() bool) error {
 	const pollInterval = 10 * time.Millisecond
 	for start := time.Now(); time.Since(start) < timeout; {
 		if condition() {
@@ -136,25 +136,25 @@
 	return shallotrouter.Errorf(shallotrouter.Deadline, "the condition did not hold within %v; see the daemons' logs", timeout)
 }
 
-func (s *Stage) startTargets(zone string) error {
+func (s *Deployment) startTargets(zone string) error {
 	for i := range s.Targets {
-		b := &Back{Name: fmt.Sprintf("%s-t%d", zone, i), Zone: zone, Target: &faker.Target{Slots: s.Slots}}
+		b := &TargetServer{Name: fmt.Sprintf("%s-t%d", zone, i), Zone: zone, Target: &faker.Target{Slots: s.Slots}}
 		address, err := s.serve(b.Target.Handler())
 		if err != nil {
 			return err
 		}
 		b.Address = address
-		s.Backs = append(s.Backs, b)
+		s.TargetServers = append(s.TargetServers, b)
 	}
-	s.Relist(zone)
+	s.WriteHostList(zone)
 	return nil
 }
 
-// Relist writes the hosts and targets of a zone to the platform's host list, with the
+// WriteHostList writes the hosts and targets of a zone to the platform's host list, with the
 // named targets marked as leaving.
-func (s *Stage) Relist(zone string, leaving ...string) {
+func (s *Deployment) WriteHostList(zone string, leaving ...string) {
 	var hosts []scheduler.Host
-	for _, b := range s.Backs {
+	for _, b := range s.TargetServers {
 		if b.Zone != zone {
 			continue
 		}
@@ -173,7 +173,7 @@
 }
 
 // serve starts a server on a free loopback port and returns its address.
-func (s *Stage) serve(handler http.Handler) (string, error) {
+func (s *Deployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -191,22 +191,22 @@
 }
 
 func (s *standInServer) run() {
-	_ = s.server.Serve(s.listener) // returns ErrServerClosed when the stage is closed
+	_ = s.server.Serve(s.listener) // returns ErrServerClosed when the deployment is closed
 }
 
-// Declarations returns the stage's declarations as INI text.
-func (s *Stage) Declarations() string {
+// Declarations returns the declarations as INI text.
+func (s *Deployment) Declarations() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[service %s]\nslots = %d\n%s\n", Service, s.Slots, s.Order)
+	fmt.Fprintf(&b, "[service %s]\nslots = %d\n%s\n", Service, s.Slots, s.ServiceLines)
 	for _, name := range s.Clients {
 		fmt.Fprintf(&b, "[client %s]\ntoken = sha256:%s\n", name, declarer.HashToken(name+"-token"))
 	}
-	return b.String() + s.Extra
+	return b.String() + s.ExtraDeclarations
 }
 
-// Apply writes the declarations and the preset to the platform, as the current
+// ApplyPreset writes the declarations and the preset to the platform, as the current
 // configuration.
-func (s *Stage) Apply(preset declarer.Name) error {
+func (s *Deployment) ApplyPreset(preset declarer.Name) error {
 	client := storer.NewClient(s.platformAddress, time.Second)
 	record, err := client.Read(s.context, storer.Row, 0)
 	if err != nil {
@@ -221,10 +221,10 @@
 }
 
 // PlatformAddress returns the address of the stand-in platform.
-func (s *Stage) PlatformAddress() string { return s.platformAddress }
+func (s *Deployment) PlatformAddress() string { return s.platformAddress }
 
 // StartNode starts a daemon on a free loopback port and waits until it accepts requests.
-func (s *Stage) StartNode(name, zone string) (*Node, error) {
+func (s *Deployment) StartNode(name, zone string) (*Node, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -261,11 +261,11 @@
 	<-n.done
 }
 
-// Ended returns a channel that is closed when the daemon has stopped.
-func (n *Node) Ended() <-chan struct{} { return n.done }
+// Done returns a channel that is closed when the daemon has stopped.
+func (n *Node) Done() <-chan struct{} { return n.done }
 
 // nodeSettings returns the settings of a daemon as INI text.
-func (s *Stage) nodeSettings(name, zone, address string) string {
+func (s *Deployment) nodeSettings(name, zone, address string) string {
 	var seeds []string
 	for _, n := range s.Nodes {
 		seeds = append(seeds, n.Address)
@@ -281,18 +281,18 @@
 addresses = %s
 [security]
 operator = %s
-%s`, name, zone, address, s.platformAddress, strings.Join(seeds, ", "), declarer.HashToken("operator-token"), s.Settings)
+%s`, name, zone, address, s.platformAddress, strings.Join(seeds, ", "), declarer.HashToken("operator-token"), s.ExtraSettings)
 }
 
 // Client returns a client that sends its requests to the node under the given name.
-func (s *Stage) Client(n *Node, name string) *shallotrouter.Client {
+func (s *Deployment) Client(n *Node, name string) *shallotrouter.Client {
 	return &shallotrouter.Client{Address: "http://" + n.Address, Token: name + "-token"}
 }
 
-// Starts returns how many times each task was started, summed over all targets.
-func (s *Stage) Starts() map[string]int {
+// StartCounts returns how many times each task was started, summed over all targets.
+func (s *Deployment) StartCounts() map[string]int {
 	starts := make(map[string]int)
-	for _, b := range s.Backs {
+	for _, b := range s.TargetServers {
 		for name, n := range b.Target.Counts().Starts {
 			starts[name] += n
 		}
@@ -301,7 +301,7 @@
 }
 
 // Close stops all daemons and stand-ins.
-func (s *Stage) Close() {
+func (s *Deployment) Close() {
 	s.cancel()
 	for _, n := range s.Nodes {
 		<-n.done
