--- a/cmd/shallotctl/hosts.go
+++ b/cmd/shallotctl/hosts.go
@@ -115,12 +115,12 @@
 			continue
 		}
 		v := f.Status
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", v.Host, v.Zone, v.Phase, v.Version, v.Preset, formatAge(v.Age), len(v.Peers), v.Open, v.Waiting)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", v.Host, v.Zone, v.Phase, v.ConfigVersion, v.Preset, formatAge(v.PlatformAge), len(v.Peers), v.OpenJobs, v.WaitingTasks)
 	}
 	fmt.Fprintln(w, "\nHOST\tTARGET\tSERVICE\tSTATE\tSLOTS\tOWN\tPEERS'\tSLOWNESS\tEJECTED BY\tWHY")
 	for _, f := range findings {
 		for _, x := range f.Targets() {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.2f\t%s\t%s\n", f.Status.Host, x.Target, x.Service, x.State, x.Slots, x.Own, x.Others, x.Ratio, x.Ejector, x.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.2f\t%s\t%s\n", f.Status.Host, x.Target, x.Service, x.State, x.Slots, x.OwnTasks, x.PeerTasks, x.RunTimeRatio, x.Ejector, x.Reason)
 		}
 	}
 	fmt.Fprintln(w, "\nHOST\tCLIENT\tSERVICE\tWAITING\tRUNNING\tWEIGHT\tSHARE")
@@ -159,7 +159,7 @@
 			fmt.Fprintf(t.errorOutput, "%s: version unknown: %s\n", f.Address, f.Problem)
 			continue
 		}
-		fmt.Fprintf(t.errorOutput, "%s has version %d\n", f.Status.Host, f.Status.Version)
+		fmt.Fprintf(t.errorOutput, "%s has version %d\n", f.Status.Host, f.Status.ConfigVersion)
 	}
 	if len(outdated) > 0 {
 		return errFailed
--- a/cmd/shallotrouter/cut_test.go
+++ b/cmd/shallotrouter/cut_test.go
@@ -113,10 +113,10 @@
 		d.await(func() bool { v := d.status(p); return v.Phase == scheduler.Serving && len(v.Peers) == 1 })
 	}
 	for i, preset := range []declarer.Name{declarer.Peak, declarer.Ordinary} {
-		before := d.status(d.daemons[0]).Version
+		before := d.status(d.daemons[0]).ConfigVersion
 		proxy.setBlocked(true)
 		version := d.setPreset(preset)
-		d.await(func() bool { return d.status(otherZone[0]).Version == version })
+		d.await(func() bool { return d.status(otherZone[0]).ConfigVersion == version })
 		for _, p := range d.daemons {
 			list, wait := d.submitInBackground(p, "comites", 5, 4, 20*time.Millisecond, 10*time.Second)
 			wait()
@@ -124,12 +124,12 @@
 				require.NoError(t, s.err)
 				assert.Equal(t, shallotrouter.Complete, s.answer.Outcome, "partition %d: %s", i, s.answer.Message)
 			}
-			assert.Equal(t, before, d.status(p).Version)
+			assert.Equal(t, before, d.status(p).ConfigVersion)
 		}
 		proxy.setBlocked(false)
 		healedAt := time.Now()
 		d.await(func() bool {
-			return d.status(d.daemons[0]).Version == version && d.status(d.daemons[1]).Version == version
+			return d.status(d.daemons[0]).ConfigVersion == version && d.status(d.daemons[1]).ConfigVersion == version
 		})
 		assert.Less(t, time.Since(healedAt), 3*time.Second)
 	}
--- a/cmd/shallotrouter/failure_test.go
+++ b/cmd/shallotrouter/failure_test.go
@@ -239,7 +239,7 @@
 	list, wait := d.submitInBackground(host, "comites", jobs, 4, 600*time.Millisecond, 20*time.Second)
 	// A job that arrives after the signal is refused, so wait until all of them have
 	// arrived.
-	d.await(func() bool { return d.status(host).Open == jobs })
+	d.await(func() bool { return d.status(host).OpenJobs == jobs })
 	host.signal(t, syscall.SIGTERM)
 	d.await(func() bool {
 		response, err := http.Get("http://" + host.address + "/readyz")
@@ -261,7 +261,7 @@
 	<-host.done
 	assert.Equal(t, 0, host.command.ProcessState.ExitCode())
 	d.await(func() bool {
-		return len(d.status(d.daemons[1]).Peers) == 0 || d.status(d.daemons[1]).Peers[0].State == scheduler.Quiet
+		return len(d.status(d.daemons[1]).Peers) == 0 || d.status(d.daemons[1]).Peers[0].State == scheduler.Unresponsive
 	})
 	d.requireNoRepeatedStarts()
 }
@@ -355,11 +355,11 @@
 		require.Eventually(t, func() bool {
 			for _, p := range d.daemons {
 				v := d.status(p)
-				if v.Version < versions[p.name] {
-					t.Errorf("%s went back from %d to %d", p.name, versions[p.name], v.Version)
+				if v.ConfigVersion < versions[p.name] {
+					t.Errorf("%s went back from %d to %d", p.name, versions[p.name], v.ConfigVersion)
 				}
-				versions[p.name] = v.Version
-				if v.Version != version || v.Preset != string(preset) {
+				versions[p.name] = v.ConfigVersion
+				if v.ConfigVersion != version || v.Preset != string(preset) {
 					return false
 				}
 			}
--- a/internal/bencher/back.go
+++ b/internal/bencher/back.go
@@ -53,17 +53,17 @@
 	b := w.target(e.Target)
 	answer := func(result scheduler.Result, delay time.Duration) {
 		w.After(delay, func() {
-			w.Deliver(n, scheduler.Finish{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: w.now.Sub(sent)})
+			w.Deliver(n, scheduler.RunEnded{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: w.now.Sub(sent)})
 		})
 	}
 	switch {
 	case b.Dead:
-		answer(scheduler.Unsent, w.Near)
+		answer(scheduler.NotSent, w.Near)
 	case b.Leaving:
 		w.Tally.checkLeaving(n, b)
 		answer(scheduler.Leaving, w.Near)
-	case w.now.After(e.By):
-		answer(scheduler.Late, w.Near)
+	case w.now.After(e.StartBy):
+		answer(scheduler.OrderExpired, w.Near)
 	case b.running < w.Slots:
 		w.startTask(b, e, sub, answer)
 	case len(b.waiting) >= maxWaitingPerTarget || w.Refuse:
@@ -78,17 +78,17 @@
 // time has passed.
 func (w *World) queueTask(b *Back, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
 	arrived := w.now
-	task := &waitingTask{startBy: e.By}
+	task := &waitingTask{startBy: e.StartBy}
 	task.start = func() {
 		w.Tally.Held += w.now.Sub(arrived)
 		w.startTask(b, e, sub, answer)
 	}
 	b.waiting = append(b.waiting, task)
-	w.After(e.By.Sub(w.now), func() {
+	w.After(e.StartBy.Sub(w.now), func() {
 		if i := slices.Index(b.waiting, task); i >= 0 {
 			b.waiting = slices.Delete(b.waiting, i, i+1)
 			w.Tally.Busy++
-			answer(scheduler.Late, w.Near)
+			answer(scheduler.OrderExpired, w.Near)
 		}
 	})
 }
@@ -107,7 +107,7 @@
 func (w *World) startTask(b *Back, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
 	w.Tally.recordStart(sub, e.Task)
 	if b.Fail || sub.Poison {
-		answer(scheduler.Wrong, w.Near)
+		answer(scheduler.Failed, w.Near)
 		return
 	}
 	b.running++
@@ -129,7 +129,7 @@
 // lost.
 func (w *World) lostAnswerResult() scheduler.Result {
 	if w.Unproven {
-		return scheduler.Unsent
+		return scheduler.NotSent
 	}
-	return scheduler.Lost
+	return scheduler.NoAnswer
 }
--- a/internal/bencher/chaos_test.go
+++ b/internal/bencher/chaos_test.go
@@ -189,8 +189,8 @@
 		}
 	}
 	for _, n := range c.Nodes {
-		if !n.Dead && n.Scheduler.Waiting() != 0 {
-			t.Fatalf("%s counts %d waiting tasks after all its jobs were answered", n.Name, n.Scheduler.Waiting())
+		if !n.Dead && n.Scheduler.WaitingTasks() != 0 {
+			t.Fatalf("%s counts %d waiting tasks after all its jobs were answered", n.Name, n.Scheduler.WaitingTasks())
 		}
 	}
 }
--- a/internal/bencher/scenario.go
+++ b/internal/bencher/scenario.go
@@ -46,7 +46,7 @@
 	p := Restrepo()
 	p.Zones, p.Targets = 1, 86
 	p.Text = declarations(PlannedClients, "")
-	p.Bounds.Hurry = 350 * time.Millisecond
+	p.Bounds.FastReportInterval = 350 * time.Millisecond
 	return p
 }
 
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -142,7 +142,7 @@
 		}
 		for _, n := range w.Nodes {
 			if n.Zone == zone && !n.Dead {
-				waiting += n.Scheduler.Waiting()
+				waiting += n.Scheduler.WaitingTasks()
 			}
 		}
 		t.Taken += time.Duration(slots) * interval
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -193,12 +193,12 @@
 		Host: name, Zone: zone, Address: name, Bounds: w.Bounds, Incarnation: uint64(w.now.UnixNano()),
 	}
 	if w.Scatter {
-		node.Scheduler.Placer = scheduler.Scatter{Random: rand.New(rand.NewPCG(uint64(len(w.Nodes)), 1))}
+		node.Scheduler.Placer = scheduler.RandomPlacer{Random: rand.New(rand.NewPCG(uint64(len(w.Nodes)), 1))}
 	}
 	w.Nodes = append(w.Nodes, node)
 	w.Deliver(node, scheduler.Adopt{Config: w.Config})
 	w.Deliver(node, scheduler.Locate{Directory: w.Directory(zone)})
-	w.scheduleTick(node, time.Duration(w.Random.Int64N(int64(w.Bounds.Tick))))
+	w.scheduleTick(node, time.Duration(w.Random.Int64N(int64(w.Bounds.TickInterval))))
 	return node
 }
 
@@ -247,7 +247,7 @@
 		if !n.Frozen {
 			w.Deliver(n, scheduler.Tick{})
 		}
-		w.scheduleTick(n, w.Bounds.Tick)
+		w.scheduleTick(n, w.Bounds.TickInterval)
 	})
 }
 
@@ -289,10 +289,10 @@
 		w.sendReport(n, e.Report)
 	case scheduler.Refresh:
 		w.After(w.Near, func() { w.Deliver(n, scheduler.Locate{Directory: w.Directory(n.Zone)}) })
-	case scheduler.Violate:
+	case scheduler.Violation:
 		w.Tally.recordViolation("%s: %s", e.Invariant, e.Detail)
-	case scheduler.Decide:
-		if e.Action == scheduler.Mark && w.Log != nil {
+	case scheduler.Decision:
+		if e.Action == scheduler.StateChanged && w.Log != nil {
 			w.Log(n, e.Target+" "+e.Reason)
 		}
 		if e.Action == scheduler.Requeue {
@@ -315,7 +315,7 @@
 		}
 		w.Tally.Reports++
 		w.Tally.ReportBytes += len(data)
-		w.After(w.Near, func() { w.Deliver(peer, scheduler.Hear{Report: report}) })
+		w.After(w.Near, func() { w.Deliver(peer, scheduler.ReportReceived{Report: report}) })
 	}
 }
 
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -164,7 +164,7 @@
 func (c *call) run() {
 	d := c.dispatcher
 	sentAt := d.Clock.Now()
-	finish := scheduler.Finish{Number: c.start.Number, Task: c.start.Task, Target: c.start.Target}
+	finish := scheduler.RunEnded{Number: c.start.Number, Task: c.start.Task, Target: c.start.Target}
 	var err error
 	finish.Result, finish.Payload, err = c.exchange()
 	if err != nil {
@@ -176,11 +176,11 @@
 
 // exchange sends the task and reads its answer.
 func (c *call) exchange() (scheduler.Result, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.start.Until.Sub(c.dispatcher.Clock.Now()))
+	ctx, cancel := context.WithTimeout(context.Background(), c.start.AnswerBy.Sub(c.dispatcher.Clock.Now()))
 	defer cancel()
 	request, err := c.newRequest(ctx)
 	if err != nil {
-		return scheduler.Unsent, nil, err
+		return scheduler.NotSent, nil, err
 	}
 	response, err := c.pool.transport.RoundTrip(request)
 	if err != nil {
@@ -202,7 +202,7 @@
 	}
 	r.ContentLength = int64(len(c.start.Payload))
 	r.Header.Set(HeaderTask, c.taskID())
-	r.Header.Set(HeaderStartBy, strconv.FormatInt(c.start.By.UnixMilli(), 10))
+	r.Header.Set(HeaderStartBy, strconv.FormatInt(c.start.StartBy.UnixMilli(), 10))
 	r.Header.Set(HeaderKind, c.start.Kind)
 	return r, nil
 }
@@ -215,7 +215,7 @@
 // handleConn assigns the connection to this call.
 func (c *call) handleConn(info httptrace.GotConnInfo) {
 	if raw, ok := info.Conn.(*conn); ok {
-		c.guard = raw.beginCall(c.start.By)
+		c.guard = raw.beginCall(c.start.StartBy)
 	}
 }
 
@@ -223,15 +223,15 @@
 // certainly not started if the call has written nothing.
 func (c *call) resultWithoutAnswer(err error) scheduler.Result {
 	if c.guard == nil {
-		return scheduler.Unsent
+		return scheduler.NotSent
 	}
 	if c.guard.abort() {
-		return scheduler.Lost
+		return scheduler.NoAnswer
 	}
 	if errors.Is(err, errStartByPassed) {
-		return scheduler.Late
+		return scheduler.OrderExpired
 	}
-	return scheduler.Unsent
+	return scheduler.NotSent
 }
 
 // readAnswer returns the result and the payload from the target's answer.
@@ -240,24 +240,24 @@
 		return refusalResult(response.Header.Get(HeaderReason)), nil, nil
 	}
 	if response.Header.Get(HeaderTask) != c.taskID() {
-		return scheduler.Lost, nil, errWrongTask
+		return scheduler.NoAnswer, nil, errWrongTask
 	}
 	payload, err := io.ReadAll(io.LimitReader(response.Body, c.dispatcher.MaxResult+1))
 	if err != nil {
-		return scheduler.Lost, nil, err
+		return scheduler.NoAnswer, nil, err
 	}
 	if int64(len(payload)) > c.dispatcher.MaxResult {
-		return scheduler.Wrong, nil, fmt.Errorf("the result exceeds %d bytes", c.dispatcher.MaxResult)
+		return scheduler.Failed, nil, fmt.Errorf("the result exceeds %d bytes", c.dispatcher.MaxResult)
 	}
 	if response.StatusCode != http.StatusOK {
-		return scheduler.Wrong, nil, fmt.Errorf("the target answered %s", response.Status)
+		return scheduler.Failed, nil, fmt.Errorf("the target answered %s", response.Status)
 	}
 	return scheduler.Done, payload, nil
 }
 
 func refusalResult(reason string) scheduler.Result {
 	switch r := scheduler.Result(reason); r {
-	case scheduler.Late, scheduler.Leaving:
+	case scheduler.OrderExpired, scheduler.Leaving:
 		return r
 	default:
 		return scheduler.Busy
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -90,19 +90,19 @@
 }
 
 // send sends one task and returns its result.
-func send(t *testing.T, d *Dispatcher, s sink, address string, number uint64, startWithin time.Duration) scheduler.Finish {
+func send(t *testing.T, d *Dispatcher, s sink, address string, number uint64, startWithin time.Duration) scheduler.RunEnded {
 	now := time.Now()
 	d.Send(scheduler.Start{
 		Number: number, Target: "t", Address: address, Kind: "k", Payload: []byte("payload"),
-		By: now.Add(startWithin), Until: now.Add(2 * time.Second),
+		StartBy: now.Add(startWithin), AnswerBy: now.Add(2 * time.Second),
 	}, Limits{Connections: 4, Trust: time.Minute})
 	select {
 	case e := <-s:
-		return e.(scheduler.Finish)
+		return e.(scheduler.RunEnded)
 	case <-time.After(10 * time.Second):
 		t.Fatal("no result was reported")
 	}
-	return scheduler.Finish{}
+	return scheduler.RunEnded{}
 }
 
 func TestAnswerDeterminesResult(t *testing.T) {
@@ -112,18 +112,18 @@
 		result scheduler.Result
 	}{
 		{"complete result", func(c net.Conn, r *http.Request, _ int64) bool { return reply(c, "200 OK", taskHeader(r), "result") }, scheduler.Done},
-		{"failed", func(c net.Conn, r *http.Request, _ int64) bool { return reply(c, "500 Failed", taskHeader(r), "") }, scheduler.Wrong},
+		{"failed", func(c net.Conn, r *http.Request, _ int64) bool { return reply(c, "500 Failed", taskHeader(r), "") }, scheduler.Failed},
 		{"result too long", func(c net.Conn, r *http.Request, _ int64) bool {
 			return reply(c, "200 OK", taskHeader(r), strings.Repeat("x", 101))
-		}, scheduler.Wrong},
+		}, scheduler.Failed},
 		{"answer to another task", func(c net.Conn, _ *http.Request, _ int64) bool {
 			return reply(c, "200 OK", HeaderTask+": other\r\n", "x")
-		}, scheduler.Lost},
+		}, scheduler.NoAnswer},
 		{"truncated result", func(c net.Conn, r *http.Request, _ int64) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n%s\r\nhalf", taskHeader(r))
 			return false
-		}, scheduler.Lost},
-		{"connection closed after the request", func(net.Conn, *http.Request, int64) bool { return false }, scheduler.Lost},
+		}, scheduler.NoAnswer},
+		{"connection closed after the request", func(net.Conn, *http.Request, int64) bool { return false }, scheduler.NoAnswer},
 		{"busy", func(c net.Conn, r *http.Request, _ int64) bool {
 			return reply(c, "503 Busy", HeaderNotStarted+": "+r.Header.Get(HeaderTask)+"\r\n"+HeaderReason+": busy\r\n", "")
 		}, scheduler.Busy},
@@ -132,8 +132,8 @@
 		}, scheduler.Leaving},
 		{"refusal of another task", func(c net.Conn, _ *http.Request, _ int64) bool {
 			return reply(c, "503 Busy", HeaderNotStarted+": other\r\n", "")
-		}, scheduler.Lost},
-		{"no answer", func(_ net.Conn, r *http.Request, _ int64) bool { <-r.Context().Done(); return false }, scheduler.Lost},
+		}, scheduler.NoAnswer},
+		{"no answer", func(_ net.Conn, r *http.Request, _ int64) bool { <-r.Context().Done(); return false }, scheduler.NoAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -157,14 +157,14 @@
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
 	s := make(sink, 1)
-	assert.Equal(t, scheduler.Unsent, send(t, newDispatcher(s), s, listener.Addr().String(), 1, time.Second).Result)
+	assert.Equal(t, scheduler.NotSent, send(t, newDispatcher(s), s, listener.Addr().String(), 1, time.Second).Result)
 }
 
 // TestLateTaskIsNotSent checks that a task is not written after its start-by time.
 func TestLateTaskIsNotSent(t *testing.T) {
 	p := newScriptedTarget(t, func(c net.Conn, r *http.Request, _ int64) bool { return reply(c, "200 OK", taskHeader(r), "") })
 	s := make(sink, 1)
-	assert.Equal(t, scheduler.Late, send(t, newDispatcher(s), s, p.listener.Addr().String(), 1, -time.Second).Result)
+	assert.Equal(t, scheduler.OrderExpired, send(t, newDispatcher(s), s, p.listener.Addr().String(), 1, -time.Second).Result)
 	assert.Zero(t, p.requests.Load())
 }
 
@@ -181,7 +181,7 @@
 	s := make(sink, 1)
 	d := newDispatcher(s)
 	require.Equal(t, scheduler.Done, send(t, d, s, p.listener.Addr().String(), 1, time.Second).Result)
-	assert.Equal(t, scheduler.Lost, send(t, d, s, p.listener.Addr().String(), 2, time.Second).Result)
+	assert.Equal(t, scheduler.NoAnswer, send(t, d, s, p.listener.Addr().String(), 2, time.Second).Result)
 	assert.Equal(t, int64(2), p.requests.Load())
 }
 
@@ -239,9 +239,9 @@
 	idleTimeout := 200 * time.Millisecond
 	run := func(number uint64) {
 		now := time.Now()
-		d.Send(scheduler.Start{Number: number, Target: "t", Address: p.listener.Addr().String(), By: now.Add(time.Second), Until: now.Add(time.Second)},
+		d.Send(scheduler.Start{Number: number, Target: "t", Address: p.listener.Addr().String(), StartBy: now.Add(time.Second), AnswerBy: now.Add(time.Second)},
 			Limits{Connections: 4, Trust: idleTimeout})
-		require.Equal(t, scheduler.Done, (<-s).(scheduler.Finish).Result)
+		require.Equal(t, scheduler.Done, (<-s).(scheduler.RunEnded).Result)
 	}
 	run(1)
 	<-time.After(idleTimeout + idleTimeout/2)
--- a/internal/divider/divide.go
+++ b/internal/divider/divide.go
@@ -139,11 +139,11 @@
 // Slots returns the number of slots in the range.
 func (r Range) Slots() int { return r.To - r.From }
 
-// Lay converts a division into one range of whole slots for each host, by the
+// AssignRanges converts a division into one range of whole slots for each host, by the
 // largest remainder method. Spare slots are divided equally between the hosts.
 // Holders must be sorted by host and contain every host of the division. A small
 // change of the division moves the ends of the ranges only a little.
-func Lay(d Division, holders []Holder) []Range {
+func AssignRanges(d Division, holders []Holder) []Range {
 	exact := make([]float64, len(holders))
 	for i := range holders {
 		exact[i] = d.Spare / float64(len(holders))
--- a/internal/divider/divide_test.go
+++ b/internal/divider/divide_test.go
@@ -94,7 +94,7 @@
 		reserve := rapid.IntRange(0, 3).Draw(t, "reserve")
 		holders := []Holder{{Host: "h0", Reserve: reserve}, {Host: "h1"}, {Host: "h2", Reserve: reserve}, {Host: "h3"}}
 		next := 0
-		for _, r := range Lay(Divide(float64(slots), drawDemands(t)), holders) {
+		for _, r := range AssignRanges(Divide(float64(slots), drawDemands(t)), holders) {
 			if r.From != next || r.To < r.From {
 				t.Fatalf("range %+v does not start at slot %d or has a negative length", r, next)
 			}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -136,7 +136,7 @@
 func (f *Follower) pollDirectory(ctx context.Context) bool {
 	directory, err := f.Client.Hosts(ctx, f.Zone, f.directory.Load())
 	if isUnchanged(err) {
-		f.Sink.Put(scheduler.Confirm{Directory: f.directory.Load()})
+		f.Sink.Put(scheduler.DirectoryUnchanged{Version: f.directory.Load()})
 		return false
 	}
 	if err != nil {
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -126,10 +126,10 @@
 	for _, address := range v.Peers {
 		checkAddress(doc, "peers", "addresses", address)
 	}
-	v.Bounds.Quiet = s.Duration("quiet", v.Bounds.Quiet, 10*time.Millisecond, time.Minute)
-	v.Bounds.Calm = s.Duration("calm", v.Bounds.Calm, 10*time.Millisecond, time.Minute)
-	v.Bounds.Hurry = s.Duration("hurry", v.Bounds.Hurry, 10*time.Millisecond, time.Minute)
-	if v.Bounds.Quiet < 2*v.Bounds.Calm {
+	v.Bounds.PeerTimeout = s.Duration("quiet", v.Bounds.PeerTimeout, 10*time.Millisecond, time.Minute)
+	v.Bounds.ReportInterval = s.Duration("calm", v.Bounds.ReportInterval, 10*time.Millisecond, time.Minute)
+	v.Bounds.FastReportInterval = s.Duration("hurry", v.Bounds.FastReportInterval, 10*time.Millisecond, time.Minute)
+	if v.Bounds.PeerTimeout < 2*v.Bounds.ReportInterval {
 		doc.AddFault("peers", "quiet", "shorter than two calm periods", "raise quiet or lower calm")
 	}
 }
@@ -153,12 +153,12 @@
 	v.MaxBodyBytes = int64(s.Int("body", 4<<20, 1<<10, 64<<20))
 	v.ReadTimeout = s.Duration("read", 30*time.Second, 10*time.Millisecond, time.Hour)
 	v.MaxRequests = s.Int("requests", 4096, 1, 1<<20)
-	b.Waiting = s.Int("waiting", b.Waiting, 1, 10_000_000)
-	b.Life = s.Duration("ticket", b.Life, time.Second, 24*time.Hour)
-	b.Keep = s.Duration("keep", b.Keep, time.Second, 24*time.Hour)
-	b.KeepBytes = s.Int("keepbytes", b.KeepBytes, 0, 1<<30)
-	b.KeepJobs = s.Int("keepjobs", b.KeepJobs, 1, 1_000_000)
-	b.Pause = s.Duration("pause", b.Pause, 10*b.Tick, time.Minute)
+	b.MaxWaitingTasks = s.Int("waiting", b.MaxWaitingTasks, 1, 10_000_000)
+	b.TicketLifetime = s.Duration("ticket", b.TicketLifetime, time.Second, 24*time.Hour)
+	b.AnswerRetention = s.Duration("keep", b.AnswerRetention, time.Second, 24*time.Hour)
+	b.MaxRetainedBytes = s.Int("keepbytes", b.MaxRetainedBytes, 0, 1<<30)
+	b.MaxRetainedJobs = s.Int("keepjobs", b.MaxRetainedJobs, 1, 1_000_000)
+	b.PauseThreshold = s.Duration("pause", b.PauseThreshold, 10*b.TickInterval, time.Minute)
 }
 
 func (v *Settings) readTargets(doc *parser.Document) {
@@ -167,7 +167,7 @@
 	v.DialTimeout = s.Duration("dial", 300*time.Millisecond, time.Millisecond, time.Minute)
 	v.UnackedTimeout = s.Duration("unacked", time.Second, 10*time.Millisecond, time.Minute)
 	v.MaxResultBytes = int64(s.Int("result", 1<<20, 1, 64<<20))
-	v.Bounds.Within = s.Duration("within", v.Bounds.Within, time.Millisecond, time.Minute)
+	v.Bounds.StartTimeout = s.Duration("within", v.Bounds.StartTimeout, time.Millisecond, time.Minute)
 }
 
 func (v *Settings) readLog(doc *parser.Document) {
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -90,11 +90,11 @@
 		m.Starts.Inc()
 	case scheduler.Reply:
 		m.ResponseTime.WithLabelValues(string(e.Answer.Outcome)).Observe(time.Duration(e.Answer.Elapsed).Seconds())
-	case scheduler.Decide:
+	case scheduler.Decision:
 		if e.Action == scheduler.Finalize {
 			m.Jobs.WithLabelValues(e.Client, string(e.Outcome), e.Reason).Inc()
 		}
-	case scheduler.Violate:
+	case scheduler.Violation:
 		m.Violations.WithLabelValues(e.Invariant).Inc()
 	}
 }
--- a/internal/operator/survey.go
+++ b/internal/operator/survey.go
@@ -91,7 +91,7 @@
 	for {
 		var outdated []HostStatus
 		for _, f := range s.ReadAll(ctx) {
-			if f.Status == nil || f.Status.Version < version {
+			if f.Status == nil || f.Status.ConfigVersion < version {
 				outdated = append(outdated, f)
 			}
 		}
--- a/internal/reporter/message.go
+++ b/internal/reporter/message.go
@@ -54,12 +54,12 @@
 	Waiting int
 }
 
-// Use is a scheduler.Use with the index of the target's name.
+// Use is a scheduler.TargetUse with the index of the target's name.
 type Use struct {
 	_      struct{} `cbor:",toarray"`
 	Target int
 	Tasks  int
-	State  scheduler.State
+	State  scheduler.TargetState
 	Doubt  int
 }
 
@@ -100,13 +100,15 @@
 
 func demandKey(d scheduler.Demand) entryKey { return entryKey{d.Service, d.Client} }
 
-func useKey(u scheduler.Use) entryKey { return entryKey{u.Target, ""} }
+func useKey(u scheduler.TargetUse) entryKey { return entryKey{u.Target, ""} }
 
 func emptyDemand(d scheduler.Demand) scheduler.Demand {
 	return scheduler.Demand{Service: d.Service, Client: d.Client}
 }
 
-func emptyUse(u scheduler.Use) scheduler.Use { return scheduler.Use{Target: u.Target} }
+func emptyUse(u scheduler.TargetUse) scheduler.TargetUse {
+	return scheduler.TargetUse{Target: u.Target}
+}
 
 // diffEntries returns the entries of current that differ from old, and an empty entry
 // for each entry of old that current lacks.
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -19,7 +19,7 @@
 		d.Demands = append(d.Demands, Demand{Service: p.nameIndex(&d, x.Service), Client: p.nameIndex(&d, x.Client), Running: x.Running, Waiting: x.Waiting})
 	}
 	for _, x := range diffEntries(p.previous.Uses, report.Uses, useKey, emptyUse) {
-		d.Uses = append(d.Uses, Use{Target: p.nameIndex(&d, x.Target), Tasks: x.Tasks, State: x.State, Doubt: x.Doubt})
+		d.Uses = append(d.Uses, Use{Target: p.nameIndex(&d, x.Target), Tasks: x.Tasks, State: x.State, Doubt: x.Suspicion})
 	}
 	p.previous = report
 	return d
@@ -60,7 +60,7 @@
 		return shallotrouter.Errorf(shallotrouter.Malformed, "peer sent more than %d names on one connection; restart the peer", maxNamesPerConnection)
 	}
 	demands := make([]scheduler.Demand, len(d.Demands))
-	uses := make([]scheduler.Use, len(d.Uses))
+	uses := make([]scheduler.TargetUse, len(d.Uses))
 	for i, x := range d.Demands {
 		if !u.isKnown(x.Service) || !u.isKnown(x.Client) {
 			return errUnknownName
@@ -71,12 +71,12 @@
 		if !u.isKnown(x.Target) {
 			return errUnknownName
 		}
-		uses[i] = scheduler.Use{Target: u.names[x.Target], Tasks: x.Tasks, State: x.State, Doubt: x.Doubt}
+		uses[i] = scheduler.TargetUse{Target: u.names[x.Target], Tasks: x.Tasks, State: x.State, Suspicion: x.Doubt}
 	}
 	r := &u.Report
 	r.Config, r.Directory, r.Leaving = d.Config, d.Directory, d.Leaving
 	r.Demands = mergeEntries(r.Demands, demands, demandKey, func(x scheduler.Demand) bool { return x == emptyDemand(x) })
-	r.Uses = mergeEntries(r.Uses, uses, useKey, func(x scheduler.Use) bool { return x == emptyUse(x) })
+	r.Uses = mergeEntries(r.Uses, uses, useKey, func(x scheduler.TargetUse) bool { return x == emptyUse(x) })
 	return nil
 }
 
--- a/internal/reporter/receiver.go
+++ b/internal/reporter/receiver.go
@@ -73,7 +73,7 @@
 		}
 		report := v.unpacker.Report
 		r.handleVersions(report.Address, peerVersions{report.Config, report.Directory})
-		r.Sink.Put(scheduler.Hear{Report: report})
+		r.Sink.Put(scheduler.ReportReceived{Report: report})
 	case m.Row != nil:
 		config, err := declarer.Decode(m.Row.Version, m.Row.Value)
 		if err != nil {
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -58,13 +58,13 @@
 	report := scheduler.Report{Host: "a", Zone: "z", Config: 1, Demands: []scheduler.Demand{{Service: "s", Client: "c", Running: 2}}}
 	a.Publish(report)
 	a.Dial([]string{b.Self.Address})
-	received := nextEvent(t, events).(scheduler.Hear).Report
+	received := nextEvent(t, events).(scheduler.ReportReceived).Report
 	assert.Equal(t, report.Demands, received.Demands)
 	assert.Equal(t, uint64(1), received.Incarnation)
 	report.Demands = nil
-	report.Uses = []scheduler.Use{{Target: "t", Tasks: 1}}
+	report.Uses = []scheduler.TargetUse{{Target: "t", Tasks: 1}}
 	a.Publish(report)
-	received = nextEvent(t, events).(scheduler.Hear).Report
+	received = nextEvent(t, events).(scheduler.ReportReceived).Report
 	assert.Empty(t, received.Demands)
 	assert.Equal(t, report.Uses, received.Uses)
 }
@@ -114,7 +114,7 @@
 	}
 	for _, target := range []string{"t1", "t2", "t3"} {
 		if n := rapid.IntRange(0, 3).Draw(t, name+target); n > 0 {
-			r.Uses = append(r.Uses, scheduler.Use{Target: target, Tasks: n})
+			r.Uses = append(r.Uses, scheduler.TargetUse{Target: target, Tasks: n})
 		}
 	}
 	return r
@@ -166,7 +166,7 @@
 		r.Demands = append(r.Demands, scheduler.Demand{Service: "despacho", Client: fmt.Sprintf("client-%03d", i), Running: 3 + shift*(i%2), Waiting: i})
 	}
 	for i := range targets {
-		r.Uses = append(r.Uses, scheduler.Use{Target: fmt.Sprintf("bogota-norte-t%02d", i), Tasks: 2 + shift*(i%2)})
+		r.Uses = append(r.Uses, scheduler.TargetUse{Target: fmt.Sprintf("bogota-norte-t%02d", i), Tasks: 2 + shift*(i%2)})
 	}
 	return r
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -86,7 +86,7 @@
 func (r *Runner) View() *View { return r.view.Load() }
 
 func (r *Runner) stepUntilHalt(ctx context.Context) {
-	ticker := r.Clock.NewTicker(r.Scheduler.Bounds.Tick)
+	ticker := r.Clock.NewTicker(r.Scheduler.Bounds.TickInterval)
 	defer ticker.Stop()
 	for {
 		var e scheduler.Event
@@ -106,7 +106,7 @@
 // step passes one event to the scheduler, executes the effects and reports whether the
 // scheduler has halted.
 func (r *Runner) step(e scheduler.Event) bool {
-	if f, ok := e.(scheduler.Finish); ok {
+	if f, ok := e.(scheduler.RunEnded); ok {
 		r.Meter.CountEnd(f.Result)
 	}
 	now := r.Clock.Now()
@@ -177,28 +177,28 @@
 		r.Dispatcher.Send(e, r.connectionLimits(e.Service))
 	case scheduler.Reply:
 		r.deliverAnswer(e.Request, e)
-	case scheduler.Shown:
+	case scheduler.JobInspected:
 		r.deliverAnswer(e.Request, e)
 	case scheduler.Issued:
 		r.deliverAnswer(e.Request, e)
-	case scheduler.Surveyed:
+	case scheduler.HostInspected:
 		r.deliverAnswer(e.Request, e)
 	case scheduler.Publish:
 		r.updateGauges(e)
 		r.Reporter.Publish(e.Report)
 	case scheduler.Refresh:
 		r.Follower.Nudge()
-	case scheduler.Retire:
+	case scheduler.CloseIdle:
 		r.Dispatcher.Retire(e.Target)
-	case scheduler.Decide:
+	case scheduler.Decision:
 		r.Throttle.Info(now, "decision", logValues(e)...)
-	case scheduler.Violate:
+	case scheduler.Violation:
 		r.Log.Error(nil, "invariant broken", "invariant", e.Invariant, "detail", e.Detail)
 	}
 }
 
 // logValues returns the keys and values for the log line of a decision.
-func logValues(e scheduler.Decide) []any {
+func logValues(e scheduler.Decision) []any {
 	list := []any{"act", e.Action}
 	if e.Number > 0 {
 		list = append(list, "job", e.Number, "client", e.Client)
@@ -224,7 +224,7 @@
 		waiting += d.Waiting
 	}
 	r.Meter.WaitingTasks.Set(float64(waiting))
-	r.Meter.OpenJobs.Set(float64(r.Scheduler.Open()))
+	r.Meter.OpenJobs.Set(float64(r.Scheduler.OpenJobs()))
 	age, known := r.Follower.Age()
 	if !known {
 		r.Meter.PlatformAge.Set(-1)
@@ -322,12 +322,12 @@
 // Inspect returns the state of a job.
 func (r *Runner) Inspect(ctx context.Context, client string, number uint64) (shallotrouter.State, error) {
 	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event {
-		return scheduler.Inspect{Request: request, Client: client, Number: number}
+		return scheduler.InspectJob{Request: request, Client: client, Number: number}
 	})
 	if err != nil {
 		return shallotrouter.State{}, err
 	}
-	return e.(scheduler.Shown).State, nil
+	return e.(scheduler.JobInspected).State, nil
 }
 
 // Issue issues a block of tickets.
@@ -347,9 +347,9 @@
 
 // Survey returns the status of this host.
 func (r *Runner) Survey(ctx context.Context) (scheduler.Status, error) {
-	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event { return scheduler.Survey{Request: request} })
+	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event { return scheduler.InspectHost{Request: request} })
 	if err != nil {
 		return scheduler.Status{}, err
 	}
-	return e.(scheduler.Surveyed).Status, nil
+	return e.(scheduler.HostInspected).Status, nil
 }
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -13,17 +13,17 @@
 		s.emit(Issued{Request: e.Request, Err: s.notServingError()})
 		return
 	}
-	if e.Count < 1 || e.Count > MaxBlock {
-		err := shallotrouter.Errorf(shallotrouter.Malformed, "%d tickets were asked for; ask for 1 to %d at a time", e.Count, MaxBlock)
+	if e.Count < 1 || e.Count > MaxTicketBlock {
+		err := shallotrouter.Errorf(shallotrouter.Malformed, "%d tickets were asked for; ask for 1 to %d at a time", e.Count, MaxTicketBlock)
 		s.emit(Issued{Request: e.Request, Err: err})
 		return
 	}
-	first := s.ledger.Give(s.now, e.Count)
-	s.emit(Issued{Request: e.Request, First: first, Count: e.Count, Expires: s.now.Add(s.Bounds.Life)})
+	first := s.ledger.Issue(s.now, e.Count)
+	s.emit(Issued{Request: e.Request, First: first, Count: e.Count, Expires: s.now.Add(s.Bounds.TicketLifetime)})
 }
 
-// MaxBlock is the maximum number of tickets in one Issue event.
-const MaxBlock = 1000
+// MaxTicketBlock is the maximum number of tickets in one Issue event.
+const MaxTicketBlock = 1000
 
 // maxWaiters limits the requests that wait for the answer to one job.
 const maxWaiters = 16
@@ -33,7 +33,7 @@
 // ticket unused.
 func (s *Scheduler) handleSubmit(e Submit) {
 	if e.Number == 0 {
-		e.Number = s.ledger.Give(s.now, 1)
+		e.Number = s.ledger.Issue(s.now, 1)
 	}
 	if s.answerUsedTicket(e) {
 		return
@@ -42,7 +42,7 @@
 		s.refuseSubmission(e, err)
 		return
 	}
-	if !s.ledger.Take(e.Number) {
+	if !s.ledger.Use(e.Number) {
 		s.reportViolation("a ticket starts one job", "ticket %d was fresh and could not be marked as used", e.Number)
 		return
 	}
@@ -56,7 +56,7 @@
 	queueTasks(j, p)
 	f := p.flow(e.Client, s.declaredWeight(e.Client))
 	if err := s.checkDeadline(f, j); err != nil {
-		s.ledger.Return(e.Number)
+		s.ledger.Release(e.Number)
 		s.refuseSubmission(e, err)
 		return
 	}
@@ -66,7 +66,7 @@
 	f.enqueue(j)
 	j.deadlineEntry.job = j
 	s.deadlines.Push(&j.deadlineEntry)
-	s.emit(Decide{Action: Admit, Number: j.number, Client: j.client})
+	s.emit(Decision{Action: Admit, Number: j.number, Client: j.client})
 	s.publishUrgentDemand(p)
 	s.dispatch(p)
 }
@@ -93,14 +93,14 @@
 		s.addWaiter(j, e.Request, e.Client)
 		return true
 	}
-	switch s.ledger.Look(e.Number) {
-	case ticketer.Fresh:
+	switch s.ledger.Lookup(e.Number) {
+	case ticketer.Unused:
 		return false
-	case ticketer.Stale:
+	case ticketer.Expired:
 		s.refuseSubmission(e, shallotrouter.Errorf(shallotrouter.Expired, "the ticket expired unused; take a new one"))
-	case ticketer.Foreign:
+	case ticketer.NeverIssued:
 		s.refuseSubmission(e, shallotrouter.Errorf(shallotrouter.Malformed, "the ticket was never given; take a new one"))
-	case ticketer.Used, ticketer.Gone:
+	case ticketer.Used, ticketer.Forgotten:
 		s.emit(Reply{Request: e.Request, Number: e.Number, Answer: forgottenAnswer()})
 	}
 	return true
@@ -156,7 +156,7 @@
 		return withRetryAfter(defaultRetryAfter, shallotrouter.Errorf(shallotrouter.Unready, "service %s has no usable target in this zone; come back after the time given", e.Job.Service))
 	}
 	f := p.flows[e.Client]
-	if f != nil && f.waiting > 0 && f.waiting+len(e.Job.Tasks) > preset.Queue || s.waitingTasks+len(e.Job.Tasks) > s.Bounds.Waiting {
+	if f != nil && f.waiting > 0 && f.waiting+len(e.Job.Tasks) > preset.Queue || s.waitingTasks+len(e.Job.Tasks) > s.Bounds.MaxWaitingTasks {
 		return withRetryAfter(s.clientBackoff(f), shallotrouter.Errorf(shallotrouter.Overload, "the queue is full; come back after the time given"))
 	}
 	return nil
@@ -195,7 +195,7 @@
 // that arrives later does not run.
 func (s *Scheduler) handleCancel(e Cancel) {
 	j := s.jobs[e.Number]
-	if j == nil && s.ledger.Take(e.Number) {
+	if j == nil && s.ledger.Use(e.Number) {
 		j = &job{number: e.Number, client: e.Client, state: jobWaiting, admittedAt: s.now}
 		s.jobs[e.Number] = j
 		s.openJobs++
@@ -211,19 +211,19 @@
 }
 
 // handleInspect answers with the state of a job.
-func (s *Scheduler) handleInspect(e Inspect) {
+func (s *Scheduler) handleInspect(e InspectJob) {
 	j := s.jobs[e.Number]
 	if j == nil || j.answerForgotten || j.client != e.Client {
 		a := forgottenAnswer()
-		switch s.ledger.Look(e.Number) {
-		case ticketer.Fresh, ticketer.Stale, ticketer.Foreign:
+		switch s.ledger.Lookup(e.Number) {
+		case ticketer.Unused, ticketer.Expired, ticketer.NeverIssued:
 			a = refusalAnswer(shallotrouter.Errorf(shallotrouter.Unknown, "nothing was submitted under this ticket; submit the job"), s.Host)
-		case ticketer.Used, ticketer.Gone:
+		case ticketer.Used, ticketer.Forgotten:
 		}
-		s.emit(Shown{Request: e.Request, State: shallotrouter.State{Answer: &a}})
+		s.emit(JobInspected{Request: e.Request, State: shallotrouter.State{Answer: &a}})
 		return
 	}
-	s.emit(Shown{Request: e.Request, State: shallotrouter.State{
+	s.emit(JobInspected{Request: e.Request, State: shallotrouter.State{
 		Waiting: len(j.queue), Running: j.inFlight, Done: j.doneTasks, Answer: j.answer,
 	}})
 }
@@ -231,7 +231,7 @@
 // refuseSubmission refuses a submission; none of its tasks was started.
 func (s *Scheduler) refuseSubmission(e Submit, err *shallotrouter.Error) {
 	s.emit(Reply{Request: e.Request, Number: e.Number, Answer: refusalAnswer(err, s.Host)})
-	s.emit(Decide{Action: Finalize, Number: e.Number, Client: e.Client, Outcome: shallotrouter.Refused, Reason: string(err.Reason)})
+	s.emit(Decision{Action: Finalize, Number: e.Number, Client: e.Client, Outcome: shallotrouter.Refused, Reason: string(err.Reason)})
 }
 
 func refusalAnswer(err *shallotrouter.Error, host string) shallotrouter.Answer {
--- a/internal/scheduler/baseline.go
+++ b/internal/scheduler/baseline.go
@@ -2,15 +2,15 @@
 
 import "math/rand/v2"
 
-// Scatter is a Placer that chooses a usable target with a free slot at random. It
-// is the baseline that benchmarks compare Spreader with.
-type Scatter struct {
+// RandomPlacer is a Placer that chooses a usable target with a free slot at random. It
+// is the baseline that benchmarks compare LeastLoadedPlacer with.
+type RandomPlacer struct {
 	// Random is the source of random numbers.
 	Random *rand.Rand
 }
 
 // place returns a random usable target with a free slot.
-func (x Scatter) place(s *Scheduler, p *pool) *target {
+func (x RandomPlacer) place(s *Scheduler, p *pool) *target {
 	if len(p.targets) == 0 {
 		return nil
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -35,12 +35,12 @@
 	config, err := declarer.Decode(1, raw)
 	require.NoError(tb, err)
 	bounds := Standard()
-	bounds.Waiting = 2 * queued
+	bounds.MaxWaitingTasks = 2 * queued
 	c := &busyHost{now: time.Unix(1000, 0), Scheduler: &Scheduler{Host: "h", Zone: "z", Bounds: bounds, Incarnation: 1}}
 	c.step(Adopt{Config: config})
 	d := directory(1, targets)
 	c.step(Locate{Directory: d})
-	for i := 0; c.Waiting() < queued; i++ {
+	for i := 0; c.WaitingTasks() < queued; i++ {
 		c.submit(i%clients, min(20, queued))
 	}
 	return c
@@ -69,7 +69,7 @@
 func (c *busyHost) endAndSubmit(i int) {
 	s := c.inFlight[0]
 	c.inFlight = c.inFlight[1:]
-	c.step(Finish{Number: s.Number, Task: s.Task, Target: s.Target, Result: Done, Elapsed: 300 * time.Millisecond})
+	c.step(RunEnded{Number: s.Number, Task: s.Task, Target: s.Target, Result: Done, Elapsed: 300 * time.Millisecond})
 	if i%20 == 0 {
 		c.submit(i/20%150, 20)
 	}
@@ -101,7 +101,7 @@
 			r.Demands = append(r.Demands, Demand{Service: "s", Client: fmt.Sprint("c", i), Running: 3, Waiting: i})
 		}
 		for i := range targets {
-			r.Uses = append(r.Uses, Use{Target: fmt.Sprint("t", i), Tasks: 2})
+			r.Uses = append(r.Uses, TargetUse{Target: fmt.Sprint("t", i), Tasks: 2})
 		}
 		list = append(list, r)
 	}
@@ -114,7 +114,7 @@
 		b.Run(fmt.Sprintf("hosts=%d/clients=%d/targets=%d", size.hosts, size.clients, size.targets), func(b *testing.B) {
 			c := newBusyHost(b, size.clients, size.targets, 10_000)
 			for _, r := range peerReports(size.hosts-1, size.clients, size.targets) {
-				c.step(Hear{Report: r})
+				c.step(ReportReceived{Report: r})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -135,7 +135,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				c.step(Hear{Report: reports[i%len(reports)]})
+				c.step(ReportReceived{Report: reports[i%len(reports)]})
 			}
 		})
 	}
--- a/internal/scheduler/effect.go
+++ b/internal/scheduler/effect.go
@@ -9,7 +9,7 @@
 // Effect is an output of Scheduler.Step. The caller executes effects in order.
 type Effect interface{ effect() }
 
-// Start sends one task to one target. Exactly one Finish event must follow.
+// Start sends one task to one target. Exactly one RunEnded event must follow.
 type Start struct {
 	Number  uint64
 	Task    int
@@ -19,10 +19,10 @@
 	Address string
 	Kind    string
 	Payload []byte
-	// By is the time until which the target may start the task; later it refuses it.
-	By time.Time
-	// Until is the time at which the task counts as lost if there is no answer.
-	Until time.Time
+	// StartBy is the time until which the target may start the task; later it refuses it.
+	StartBy time.Time
+	// AnswerBy is the time at which the task counts as lost if there is no answer.
+	AnswerBy time.Time
 }
 
 // Reply is the final answer to a Submit or Cancel request.
@@ -33,9 +33,9 @@
 	Answer shallotrouter.Answer
 }
 
-// Shown answers an Inspect request. The Answer in State is nil while the job has no
-// final answer.
-type Shown struct {
+// JobInspected answers an InspectJob request. The Answer in State is nil while the job
+// has no final answer.
+type JobInspected struct {
 	Request uint64
 	State   shallotrouter.State
 }
@@ -56,8 +56,8 @@
 // Refresh requests to read the configuration and the directory at once.
 type Refresh struct{}
 
-// Retire closes the idle connections to a target.
-type Retire struct{ Target string }
+// CloseIdle closes the idle connections to a target.
+type CloseIdle struct{ Target string }
 
 // Action is the kind of a decision.
 type Action string
@@ -71,12 +71,12 @@
 	Requeue Action = "requeue"
 	// Finalize means that a job got its final answer or was refused.
 	Finalize Action = "finalize"
-	// Mark means that the state of a target, a peer or the host itself changed.
-	Mark Action = "mark"
+	// StateChanged means that the state of a target, a peer or the host itself changed.
+	StateChanged Action = "mark"
 )
 
-// Decide reports one routing or placement decision for the log.
-type Decide struct {
+// Decision reports one routing or placement decision for the log.
+type Decision struct {
 	Action  Action
 	Number  uint64
 	Task    int
@@ -86,8 +86,8 @@
 	Reason  string
 }
 
-// Violate reports a broken invariant, which is a defect of the program.
-type Violate struct {
+// Violation reports a broken invariant, which is a defect of the program.
+type Violation struct {
 	Invariant string
 	Detail    string
 }
@@ -95,13 +95,13 @@
 // Halt reports that the drain is over and the process may exit.
 type Halt struct{}
 
-func (Start) effect()   {}
-func (Reply) effect()   {}
-func (Shown) effect()   {}
-func (Issued) effect()  {}
-func (Publish) effect() {}
-func (Refresh) effect() {}
-func (Retire) effect()  {}
-func (Decide) effect()  {}
-func (Violate) effect() {}
-func (Halt) effect()    {}
+func (Start) effect()        {}
+func (Reply) effect()        {}
+func (JobInspected) effect() {}
+func (Issued) effect()       {}
+func (Publish) effect()      {}
+func (Refresh) effect()      {}
+func (CloseIdle) effect()    {}
+func (Decision) effect()     {}
+func (Violation) effect()    {}
+func (Halt) effect()         {}
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -11,7 +11,7 @@
 type Event interface{ event() }
 
 // Tick lets the scheduler act on the passing of time. It must come at least every
-// Bounds.Tick.
+// Bounds.TickInterval.
 type Tick struct{}
 
 // Issue requests a block of tickets. It is answered by an Issued effect.
@@ -33,8 +33,8 @@
 	Digest uint64
 }
 
-// Inspect requests the state of a job. It is answered by a Shown effect.
-type Inspect struct {
+// InspectJob requests the state of a job. It is answered by a JobInspected effect.
+type InspectJob struct {
 	Request uint64
 	Client  string
 	Number  uint64
@@ -53,27 +53,27 @@
 const (
 	// Done means that the target answered with the task's whole result.
 	Done Result = "done"
-	// Wrong means that the target ran the task and reported a failure.
-	Wrong Result = "wrong"
-	// Lost means that no answer arrived: the task may or may not have run.
-	Lost Result = "lost"
+	// Failed means that the target ran the task and reported a failure.
+	Failed Result = "wrong"
+	// NoAnswer means that no answer arrived: the task may or may not have run.
+	NoAnswer Result = "lost"
 	// Busy means that the target refused before starting: no slot was free.
 	Busy Result = "busy"
-	// Late means that the target refused before starting: the start-by time
+	// OrderExpired means that the target refused before starting: the start-by time
 	// had passed.
-	Late Result = "late"
+	OrderExpired Result = "late"
 	// Leaving means that the target refused before starting: it is leaving.
 	Leaving Result = "leaving"
-	// Unsent means that no byte of the task was written to the target.
-	Unsent Result = "unsent"
+	// NotSent means that no byte of the task was written to the target.
+	NotSent Result = "unsent"
 )
 
 // Started reports whether the task may have started.
-func (r Result) Started() bool { return r == Done || r == Wrong || r == Lost }
+func (r Result) Started() bool { return r == Done || r == Failed || r == NoAnswer }
 
-// Finish reports the result of a Start effect. Each Start effect is followed by
-// exactly one Finish event.
-type Finish struct {
+// RunEnded reports the result of a Start effect. Each Start effect is followed by
+// exactly one RunEnded event.
+type RunEnded struct {
 	Number  uint64
 	Task    int
 	Target  string
@@ -84,8 +84,8 @@
 	Elapsed time.Duration
 }
 
-// Hear delivers the complete current report of a peer.
-type Hear struct{ Report Report }
+// ReportReceived delivers the complete current report of a peer.
+type ReportReceived struct{ Report Report }
 
 // Adopt delivers a configuration. It is ignored unless its version is higher than
 // that of the current configuration.
@@ -96,8 +96,8 @@
 // the current directory.
 type Locate struct{ Directory Directory }
 
-// Confirm reports that the platform's directory still has this version.
-type Confirm struct{ Directory uint64 }
+// DirectoryUnchanged reports that the platform's directory still has this version.
+type DirectoryUnchanged struct{ Version uint64 }
 
 // Drain requests a graceful shutdown, which ends with a Halt effect.
 type Drain struct{}
@@ -106,18 +106,18 @@
 // if none of its tasks may have started, as failed otherwise.
 type Stop struct{}
 
-func (Tick) event()    {}
-func (Issue) event()   {}
-func (Submit) event()  {}
-func (Inspect) event() {}
-func (Cancel) event()  {}
-func (Finish) event()  {}
-func (Hear) event()    {}
-func (Adopt) event()   {}
-func (Locate) event()  {}
-func (Confirm) event() {}
-func (Drain) event()   {}
-func (Stop) event()    {}
+func (Tick) event()               {}
+func (Issue) event()              {}
+func (Submit) event()             {}
+func (InspectJob) event()         {}
+func (Cancel) event()             {}
+func (RunEnded) event()           {}
+func (ReportReceived) event()     {}
+func (Adopt) event()              {}
+func (Locate) event()             {}
+func (DirectoryUnchanged) event() {}
+func (Drain) event()              {}
+func (Stop) event()               {}
 
 // Directory is the platform's list of the hosts of one zone. It may be out of date.
 type Directory struct {
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -8,7 +8,7 @@
 )
 
 // handleFinish handles the end of one run.
-func (s *Scheduler) handleFinish(e Finish) {
+func (s *Scheduler) handleFinish(e RunEnded) {
 	j := s.jobs[e.Number]
 	if j == nil || e.Task < 0 || e.Task >= len(j.tasks) {
 		s.reportViolation("one end a start", "job %d task %d ended and is unknown", e.Number, e.Task)
@@ -39,20 +39,20 @@
 // recordNotStarted records why a target did not start a task.
 func (s *Scheduler) recordNotStarted(t *target, result Result) {
 	switch result {
-	case Busy, Late:
+	case Busy, OrderExpired:
 		t.recordBusy(s.now)
 	case Leaving:
 		t.leavingUntil = s.now.Add(leavingPeriod)
 		s.updateLeaving(t)
-	case Unsent:
-		s.emit(Retire{Target: t.name})
+	case NotSent:
+		s.emit(CloseIdle{Target: t.name})
 		s.recordUnreachable(t)
-	case Done, Wrong, Lost:
+	case Done, Failed, NoAnswer:
 	}
 }
 
 // recordRun records the end of a task that may have started.
-func (s *Scheduler) recordRun(j *job, k *task, e Finish) {
+func (s *Scheduler) recordRun(j *job, k *task, e RunEnded) {
 	j.flow.unchargedTime += e.Elapsed - k.expected
 	t := k.target
 	switch e.Result {
@@ -60,12 +60,12 @@
 		k.state, _ = taskMachine.Next(k.state, taskFinish)
 		s.failureRecordOf(j).addSuccess()
 		s.recordRunTime(j, t, e)
-	case Wrong:
+	case Failed:
 		k.state, _ = taskMachine.Next(k.state, taskFail)
 		s.recordFailure(t, j)
 	default:
 		k.state, _ = taskMachine.Next(k.state, taskLose)
-		s.emit(Retire{Target: t.name})
+		s.emit(CloseIdle{Target: t.name})
 		s.recordFailure(t, j)
 	}
 	if j.state == jobFinal {
@@ -85,7 +85,7 @@
 // recordRunTime updates the target's statistics and the expected run time of the
 // task's kind. It compares the run with the time that was expected before it. Runs
 // at a suspicious target do not change the expected run time.
-func (s *Scheduler) recordRunTime(j *job, t *target, e Finish) {
+func (s *Scheduler) recordRunTime(j *job, t *target, e RunEnded) {
 	estimates := &j.flow.pool.estimates
 	kind := j.tasks[e.Task].kind
 	ratio := e.Elapsed.Seconds() / estimates.ExpectedRunTime(kind, e.Elapsed).Seconds()
@@ -96,9 +96,9 @@
 }
 
 // failJob ends a job after one of its tasks failed or its answer was lost.
-func (s *Scheduler) failJob(j *job, e Finish) {
+func (s *Scheduler) failJob(j *job, e RunEnded) {
 	reason, message := shallotrouter.Rejected, fmt.Sprintf("task %d failed on its target: %s; correct the task before submitting a new job", e.Task, e.Message)
-	if e.Result == Lost {
+	if e.Result == NoAnswer {
 		reason = shallotrouter.Unknown
 		message = fmt.Sprintf("the answer to task %d was lost: %s; find out before submitting it again", e.Task, e.Message)
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -78,7 +78,7 @@
 	}
 	j.waiters = nil
 	s.openJobs--
-	s.emit(Decide{Action: Finalize, Number: j.number, Client: j.client, Outcome: a.Outcome, Reason: string(a.Reason)})
+	s.emit(Decision{Action: Finalize, Number: j.number, Client: j.client, Outcome: a.Outcome, Reason: string(a.Reason)})
 }
 
 // withdraw removes the job's waiting tasks from the queue. The cost does not
@@ -142,8 +142,8 @@
 func (s *Scheduler) dropOldAnswers() {
 	for len(s.retained) > 0 {
 		j := s.retained[0]
-		isRecent := s.now.Sub(j.finishedAt) < s.Bounds.Keep
-		if isRecent && s.retainedBytes <= s.Bounds.KeepBytes && len(s.retained) <= s.Bounds.KeepJobs {
+		isRecent := s.now.Sub(j.finishedAt) < s.Bounds.AnswerRetention
+		if isRecent && s.retainedBytes <= s.Bounds.MaxRetainedBytes && len(s.retained) <= s.Bounds.MaxRetainedJobs {
 			return
 		}
 		s.retained = s.retained[1:]
--- a/internal/scheduler/lifecycle.go
+++ b/internal/scheduler/lifecycle.go
@@ -95,20 +95,20 @@
 	transitioner.Rule[taskState, taskEvent]{Event: taskLose, Sources: []taskState{taskSent}, Target: taskLost},
 )
 
-// State is a state in the life cycle of a target as one host sees it.
-type State string
+// TargetState is a state in the life cycle of a target as one host sees it.
+type TargetState string
 
 const (
 	// Live means that the target gets tasks.
-	Live State = "live"
+	Live TargetState = "live"
 	// Departing means that the target gets no new tasks because it is leaving.
-	Departing State = "leaving"
+	Departing TargetState = "leaving"
 	// Ejected means that the target gets no tasks because it fails or delays them
 	// or cannot be reached.
-	Ejected State = "ejected"
+	Ejected TargetState = "ejected"
 	// Trial means that the target gets one task, whose result decides whether the
 	// target becomes live again.
-	Trial State = "trial"
+	Trial TargetState = "trial"
 )
 
 type targetEvent string
@@ -121,23 +121,23 @@
 	targetRestore    targetEvent = "pass"
 )
 
-var targetRules = []transitioner.Rule[State, targetEvent]{
-	{Event: targetLeave, Sources: []State{Live, Ejected, Trial}, Target: Departing},
-	{Event: targetReturn, Sources: []State{Departing}, Target: Live},
-	{Event: targetEject, Sources: []State{Live, Trial}, Target: Ejected},
-	{Event: targetStartTrial, Sources: []State{Ejected}, Target: Trial},
-	{Event: targetRestore, Sources: []State{Trial, Ejected}, Target: Live},
+var targetRules = []transitioner.Rule[TargetState, targetEvent]{
+	{Event: targetLeave, Sources: []TargetState{Live, Ejected, Trial}, Target: Departing},
+	{Event: targetReturn, Sources: []TargetState{Departing}, Target: Live},
+	{Event: targetEject, Sources: []TargetState{Live, Trial}, Target: Ejected},
+	{Event: targetStartTrial, Sources: []TargetState{Ejected}, Target: Trial},
+	{Event: targetRestore, Sources: []TargetState{Trial, Ejected}, Target: Live},
 }
 
-// Presence is a state in the life cycle of a peer as one host sees it.
-type Presence string
+// PeerState is a state in the life cycle of a peer as one host sees it.
+type PeerState string
 
 const (
 	// Present means that the peer sends reports.
-	Present Presence = "present"
-	// Quiet means that the peer has sent no report for Bounds.Quiet. Its share of
-	// the slots goes to the other hosts.
-	Quiet Presence = "quiet"
+	Present PeerState = "present"
+	// Unresponsive means that the peer has sent no report for Bounds.PeerTimeout. Its
+	// share of the slots goes to the other hosts.
+	Unresponsive PeerState = "quiet"
 )
 
 type peerEvent string
@@ -147,7 +147,7 @@
 	peerExpire peerEvent = "miss"
 )
 
-var peerRules = []transitioner.Rule[Presence, peerEvent]{
-	{Event: peerReport, Sources: []Presence{Quiet}, Target: Present},
-	{Event: peerExpire, Sources: []Presence{Present}, Target: Quiet},
+var peerRules = []transitioner.Rule[PeerState, peerEvent]{
+	{Event: peerReport, Sources: []PeerState{Unresponsive}, Target: Present},
+	{Event: peerExpire, Sources: []PeerState{Present}, Target: Unresponsive},
 }
--- a/internal/scheduler/peer.go
+++ b/internal/scheduler/peer.go
@@ -27,11 +27,11 @@
 	}
 	r := s.peers[report.Host]
 	if r == nil {
-		if len(s.peers) >= s.Bounds.Peers {
-			s.emit(Decide{Action: Mark, Target: report.Host, Reason: "too many peers; report left out"})
+		if len(s.peers) >= s.Bounds.MaxPeers {
+			s.emit(Decision{Action: StateChanged, Target: report.Host, Reason: "too many peers; report left out"})
 			return
 		}
-		r = &peer{machine: transitioner.NewFSM(Quiet, peerRules...)}
+		r = &peer{machine: transitioner.NewFSM(Unresponsive, peerRules...)}
 		s.peers[report.Host] = r
 	}
 	if report.Incarnation < r.report.Incarnation {
@@ -56,15 +56,15 @@
 	if err := r.machine.Event(context.Background(), string(event)); err != nil {
 		s.reportViolation("peer life cycle", "event %s of peer %s: %v", event, r.report.Host, err)
 	}
-	s.emit(Decide{Action: Mark, Target: r.report.Host, Reason: "peer " + r.machine.Current()})
+	s.emit(Decision{Action: StateChanged, Target: r.report.Host, Reason: "peer " + r.machine.Current()})
 }
 
-// checkPeers marks peers without a report for Bounds.Quiet as quiet and removes
-// them after peerRetention.
+// checkPeers marks peers without a report for Bounds.PeerTimeout as unresponsive and
+// removes them after peerRetention.
 func (s *Scheduler) checkPeers() {
 	changed := false
 	for _, r := range s.peers {
-		if r.isPresent() && s.now.Sub(r.lastReceived) > s.Bounds.Quiet {
+		if r.isPresent() && s.now.Sub(r.lastReceived) > s.Bounds.PeerTimeout {
 			s.changePeerState(r, peerExpire)
 			changed = true
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// peerRetention is the time after its last report for which a quiet peer is kept.
+// peerRetention is the time after its last report for which an unresponsive peer is kept.
 const peerRetention = 10 * time.Minute
 
 // mergeReports combines what all present peers report about the targets and divides
@@ -110,9 +110,9 @@
 }
 
 // addPeerUse adds what one peer reports about the target.
-func (t *target) addPeerUse(host string, u Use, now time.Time) {
+func (t *target) addPeerUse(host string, u TargetUse, now time.Time) {
 	t.peerTasks += u.Tasks
-	t.peerSuspicion += float64(u.Doubt * suspicionStep)
+	t.peerSuspicion += float64(u.Suspicion * suspicionStep)
 	switch u.State {
 	case Departing:
 		t.peerLeavingUntil = now.Add(leavingPeriod)
@@ -144,7 +144,7 @@
 			}
 		}
 		for _, t := range p.targets {
-			if u := t.firstHandUse(s.now); u != (Use{Target: t.name}) {
+			if u := t.firstHandUse(s.now); u != (TargetUse{Target: t.name}) {
 				r.Uses = append(r.Uses, u)
 			}
 		}
@@ -153,8 +153,8 @@
 }
 
 // firstHandUse returns this host's first-hand view of the target.
-func (t *target) firstHandUse(now time.Time) Use {
-	u := Use{Target: t.name, Tasks: t.ownTasks, Doubt: int((t.suspicion + t.inFlightSuspicion) / suspicionStep)}
+func (t *target) firstHandUse(now time.Time) TargetUse {
+	u := TargetUse{Target: t.name, Tasks: t.ownTasks, Suspicion: int((t.suspicion + t.inFlightSuspicion) / suspicionStep)}
 	switch t.state() {
 	case Departing:
 		if t.listedLeaving || now.Before(t.leavingUntil) {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -97,12 +97,12 @@
 	place(s *Scheduler, p *pool) *target
 }
 
-// Spreader is the Placer that spreads each host's own tasks evenly over the
+// LeastLoadedPlacer is the Placer that spreads each host's own tasks evenly over the
 // targets, so that hosts with outdated reports do not all choose the same target.
-type Spreader struct{}
+type LeastLoadedPlacer struct{}
 
 // place returns the usable target with a free slot and the lowest placementLoad.
-func (Spreader) place(s *Scheduler, p *pool) *target {
+func (LeastLoadedPlacer) place(s *Scheduler, p *pool) *target {
 	var best *target
 	for i := range p.targets {
 		t := p.targets[(i+s.targetOffset)%len(p.targets)]
@@ -116,9 +116,9 @@
 	return best
 }
 
-// placementLoad returns the load by which Spreader compares targets. This host's
-// tasks weigh more than the peers' tasks, because reports arrive late. Tasks at a
-// slow target weigh more than tasks at a fast one. A peer's tasks beyond its slots
+// placementLoad returns the load by which LeastLoadedPlacer compares targets. This
+// host's tasks weigh more than the peers' tasks, because reports arrive late. Tasks at
+// a slow target weigh more than tasks at a fast one. A peer's tasks beyond its slots
 // at the target weigh most: the target holds further tasks back until they end.
 func (t *target) placementLoad() float64 {
 	return (float64(t.ownTasks+1)+peerTaskWeight*float64(t.peerTasks))*max(1, t.runTimeRatio/2) + outOfRangeWeight*float64(t.outOfRangeTasks)
@@ -163,10 +163,10 @@
 	s.emit(Start{
 		Number: j.number, Task: index, Client: j.client, Service: j.service,
 		Target: t.name, Address: t.address, Kind: j.specs[index].Kind, Payload: j.specs[index].Payload,
-		By:    minTime(j.deadline, s.now.Add(s.Bounds.Within)),
-		Until: s.now.Add(p.service.Longest),
+		StartBy:  minTime(j.deadline, s.now.Add(s.Bounds.StartTimeout)),
+		AnswerBy: s.now.Add(p.service.Longest),
 	})
-	s.emit(Decide{Action: Place, Number: j.number, Task: index, Client: j.client, Target: t.name})
+	s.emit(Decision{Action: Place, Number: j.number, Task: index, Client: j.client, Target: t.name})
 	return true
 }
 
@@ -241,7 +241,7 @@
 		f.jobs.Push(j)
 	}
 	f.activate()
-	s.emit(Decide{Action: Requeue, Number: j.number, Task: index, Client: j.client, Target: k.target.name, Reason: string(result)})
+	s.emit(Decision{Action: Requeue, Number: j.number, Task: index, Client: j.client, Target: k.target.name, Reason: string(result)})
 }
 
 func minTime(a, b time.Time) time.Time {
--- a/internal/scheduler/report.go
+++ b/internal/scheduler/report.go
@@ -15,7 +15,7 @@
 	// Leaving reports whether the host is draining.
 	Leaving bool
 	Demands []Demand
-	Uses    []Use
+	Uses    []TargetUse
 }
 
 // Demand counts the tasks of one client for one service at the reporting host.
@@ -26,14 +26,14 @@
 	Waiting int    `cbor:"4,keyasint,omitempty"`
 }
 
-// Use is the reporting host's view of one target.
-type Use struct {
+// TargetUse is the reporting host's view of one target.
+type TargetUse struct {
 	Target string `cbor:"1,keyasint"`
 	// Tasks counts the host's tasks in flight at the target.
 	Tasks int `cbor:"2,keyasint,omitempty"`
 	// State is omitted for a live target.
-	State State `cbor:"3,keyasint,omitempty"`
-	// Doubt is the host's suspicion that the target is slow, in units of
+	State TargetState `cbor:"3,keyasint,omitempty"`
+	// Suspicion is the host's suspicion that the target is slow, in units of
 	// suspicionStep: how surprisingly long the host's tasks take there.
-	Doubt int `cbor:"4,keyasint,omitempty"`
+	Suspicion int `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,40 +21,40 @@
 
 // Bounds are the limits and periods of a Scheduler.
 type Bounds struct {
-	// Tick is the longest time between two steps of a running process.
-	Tick time.Duration
-	// Pause is the threshold for a paused process: a longer time between two
+	// TickInterval is the longest time between two steps of a running process.
+	TickInterval time.Duration
+	// PauseThreshold is the threshold for a paused process: a longer time between two
 	// steps means that the process did not run.
-	Pause time.Duration
-	// Within is the time in which a target must start a task that was sent to it.
-	Within time.Duration
-	// Life is how long an unused ticket is valid.
-	Life time.Duration
-	// Keep, KeepBytes and KeepJobs limit the age, total size and number of the
-	// answers that are retained for resubmissions.
-	Keep      time.Duration
-	KeepBytes int
-	KeepJobs  int
-	// Waiting limits the waiting tasks of all clients together.
-	Waiting int
-	// Peers limits the number of other entry hosts in the zone.
-	Peers int
-	// Quiet is the time without a report after which the other hosts take over a
+	PauseThreshold time.Duration
+	// StartTimeout is the time in which a target must start a task that was sent to it.
+	StartTimeout time.Duration
+	// TicketLifetime is how long an unused ticket is valid.
+	TicketLifetime time.Duration
+	// AnswerRetention, MaxRetainedBytes and MaxRetainedJobs limit the age, total size
+	// and number of the answers that are retained for resubmissions.
+	AnswerRetention  time.Duration
+	MaxRetainedBytes int
+	MaxRetainedJobs  int
+	// MaxWaitingTasks limits the waiting tasks of all clients together.
+	MaxWaitingTasks int
+	// MaxPeers limits the number of other entry hosts in the zone.
+	MaxPeers int
+	// PeerTimeout is the time without a report after which the other hosts take over a
 	// peer's share of the slots.
-	Quiet time.Duration
-	// Calm is the regular interval between reports. Hurry is the interval while
-	// work waits and the last report misleads the peers.
-	Calm  time.Duration
-	Hurry time.Duration
+	PeerTimeout time.Duration
+	// ReportInterval is the regular interval between reports. FastReportInterval is the
+	// interval while work waits and the last report misleads the peers.
+	ReportInterval     time.Duration
+	FastReportInterval time.Duration
 }
 
 // Standard returns the default bounds.
 func Standard() Bounds {
 	return Bounds{
-		Tick: 50 * time.Millisecond, Pause: 2 * time.Second, Within: time.Second,
-		Life: 10 * time.Minute, Keep: time.Minute, KeepBytes: 16 << 20, KeepJobs: 20_000,
-		Waiting: 100_000, Peers: 64, Quiet: 2200 * time.Millisecond,
-		Calm: time.Second, Hurry: 100 * time.Millisecond,
+		TickInterval: 50 * time.Millisecond, PauseThreshold: 2 * time.Second, StartTimeout: time.Second,
+		TicketLifetime: 10 * time.Minute, AnswerRetention: time.Minute, MaxRetainedBytes: 16 << 20, MaxRetainedJobs: 20_000,
+		MaxWaitingTasks: 100_000, MaxPeers: 64, PeerTimeout: 2200 * time.Millisecond,
+		ReportInterval: time.Second, FastReportInterval: 100 * time.Millisecond,
 	}
 }
 
@@ -69,7 +69,7 @@
 	Incarnation uint64
 	// Bounds holds the limits and periods; Standard returns the defaults.
 	Bounds Bounds
-	// Placer chooses targets; nil means Spreader.
+	// Placer chooses targets; nil means LeastLoadedPlacer.
 	Placer Placer
 
 	now            time.Time
@@ -102,7 +102,7 @@
 func (s *Scheduler) init(now time.Time) {
 	s.now = now
 	s.phaseMachine = transitioner.NewFSM(Starting, phaseRules...)
-	s.ledger.Life = s.Bounds.Life
+	s.ledger.TicketLifetime = s.Bounds.TicketLifetime
 	s.jobs = make(map[uint64]*job)
 	s.pools = make(map[string]*pool)
 	s.targets = make(map[string]*target)
@@ -111,7 +111,7 @@
 	s.deadlines.Less = func(a, b *deadlineEntry) bool { return a.job.deadline.Before(b.job.deadline) }
 	s.targetOffset = targetOffset(s.Host)
 	if s.Placer == nil {
-		s.Placer = Spreader{}
+		s.Placer = LeastLoadedPlacer{}
 	}
 }
 
@@ -124,7 +124,7 @@
 	s.effects = s.effects[:0]
 	gap := now.Sub(s.now)
 	s.now = now
-	if gap > s.Bounds.Pause {
+	if gap > s.Bounds.PauseThreshold {
 		s.suspendServing(gap)
 	}
 	s.apply(e)
@@ -140,21 +140,21 @@
 		s.handleIssue(e)
 	case Submit:
 		s.handleSubmit(e)
-	case Inspect:
+	case InspectJob:
 		s.handleInspect(e)
 	case Cancel:
 		s.handleCancel(e)
-	case Finish:
+	case RunEnded:
 		s.handleFinish(e)
-	case Hear:
+	case ReportReceived:
 		s.handleReport(e.Report)
 	case Adopt:
 		s.handleConfig(e.Config)
 	case Locate:
 		s.handleDirectory(e.Directory)
-	case Confirm:
+	case DirectoryUnchanged:
 		s.handleDirectoryUnchanged(e)
-	case Survey:
+	case InspectHost:
 		s.handleSurvey(e)
 	case Drain:
 		s.handleDrain()
@@ -176,7 +176,7 @@
 
 // reportViolation reports a broken invariant.
 func (s *Scheduler) reportViolation(invariant, format string, args ...any) {
-	s.emit(Violate{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
+	s.emit(Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
 // changePhase applies the event to the daemon's phase. It reports false when the
@@ -190,7 +190,7 @@
 		return false
 	}
 	s.reportUrgent = true
-	s.emit(Decide{Action: Mark, Target: s.Host, Reason: s.phaseMachine.Current() + ": " + reason})
+	s.emit(Decision{Action: StateChanged, Target: s.Host, Reason: s.phaseMachine.Current() + ": " + reason})
 	return true
 }
 
@@ -222,7 +222,7 @@
 			f.declaredWeight = s.declaredWeight(f.client)
 		}
 	}
-	s.emit(Decide{Action: Mark, Target: s.Host, Reason: fmt.Sprintf("configuration %d, preset %s", c.Version, c.Row.Preset)})
+	s.emit(Decision{Action: StateChanged, Target: s.Host, Reason: fmt.Sprintf("configuration %d, preset %s", c.Version, c.Row.Preset)})
 	s.rebuildPools()
 }
 
@@ -257,8 +257,8 @@
 
 // handleDirectoryUnchanged handles the platform's answer that the directory has
 // not changed.
-func (s *Scheduler) handleDirectoryUnchanged(e Confirm) {
-	if e.Directory == s.directory.Version {
+func (s *Scheduler) handleDirectoryUnchanged(e DirectoryUnchanged) {
+	if e.Version == s.directory.Version {
 		s.resumeServing("the directory was confirmed")
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -70,7 +70,7 @@
 	b.now = b.now.Add(d)
 	effects := append([]Effect(nil), b.Step(b.now, e)...)
 	for _, x := range effects {
-		if v, ok := x.(Violate); ok {
+		if v, ok := x.(Violation); ok {
 			b.t.Errorf("%s: %s", v.Invariant, v.Detail)
 		}
 	}
@@ -81,7 +81,7 @@
 func (b *harness) advance(d time.Duration) []Effect {
 	var all []Effect
 	for end := b.now.Add(d); b.now.Before(end); {
-		all = append(all, b.stepAfter(b.Bounds.Tick, Tick{})...)
+		all = append(all, b.stepAfter(b.Bounds.TickInterval, Tick{})...)
 	}
 	return all
 }
@@ -106,7 +106,7 @@
 
 // endStart reports the result of a start.
 func (b *harness) endStart(s Start, result Result) []Effect {
-	return b.step(Finish{Number: s.Number, Task: s.Task, Target: s.Target, Result: result, Elapsed: 100 * time.Millisecond})
+	return b.step(RunEnded{Number: s.Number, Task: s.Task, Target: s.Target, Result: result, Elapsed: 100 * time.Millisecond})
 }
 
 // effectsOf returns the effects of one type.
@@ -139,14 +139,14 @@
 	replies = effectsOf[Reply](b.submit("b", n, 2, time.Second))
 	require.Len(t, replies, 1)
 	assert.Equal(t, shallotrouter.Unauthorized, replies[0].Answer.Reason)
-	b.advance(b.Bounds.Keep + time.Second)
+	b.advance(b.Bounds.AnswerRetention + time.Second)
 	replies = effectsOf[Reply](b.submit("a", n, 2, time.Second))
 	require.Len(t, replies, 1)
 	assert.Equal(t, shallotrouter.Lost, replies[0].Answer.Outcome, "the job of a dropped answer may have run")
 }
 
 func TestTaskThatDidNotStartIsPlacedAgain(t *testing.T) {
-	for _, result := range []Result{Busy, Late, Leaving, Unsent} {
+	for _, result := range []Result{Busy, OrderExpired, Leaving, NotSent} {
 		b := newHarness(t, 2)
 		start := effectsOf[Start](b.submit("a", b.takeTicket(), 1, time.Second))[0]
 		again := effectsOf[Start](append(b.endStart(start, result), b.advance(500*time.Millisecond)...))
@@ -158,7 +158,7 @@
 }
 
 func TestTaskThatMayHaveStartedIsNotPlacedAgain(t *testing.T) {
-	for _, result := range []Result{Wrong, Lost} {
+	for _, result := range []Result{Failed, NoAnswer} {
 		b := newHarness(t, 2)
 		starts := effectsOf[Start](b.submit("a", b.takeTicket(), 6, 2*time.Second))
 		require.Len(t, starts, 4)
@@ -167,7 +167,7 @@
 		require.Len(t, replies, 1)
 		assert.Equal(t, shallotrouter.Failed, replies[0].Answer.Outcome)
 		assert.Empty(t, effectsOf[Start](append(effects, b.advance(3*time.Second)...)), "the other tasks are withdrawn")
-		assert.Zero(t, b.Waiting())
+		assert.Zero(t, b.WaitingTasks())
 		for _, s := range starts[1:] {
 			assert.Empty(t, effectsOf[Reply](b.endStart(s, Done)), "a run that ends after the job's answer changes nothing")
 		}
@@ -186,7 +186,7 @@
 		act        func(b *harness, n uint64) []Effect
 	}{
 		{shallotrouter.Expired, false, func(b *harness, n uint64) []Effect {
-			b.advance(b.Bounds.Life + b.Bounds.Life/32)
+			b.advance(b.Bounds.TicketLifetime + b.Bounds.TicketLifetime/32)
 			return b.submit("a", n, 1, time.Second)
 		}},
 		{shallotrouter.Maintenance, true, func(b *harness, n uint64) []Effect {
@@ -225,7 +225,7 @@
 		{shallotrouter.Paused, true, func(b *harness, n uint64) []Effect {
 			occupyAllSlots(b)
 			b.submit("a", n, 1, time.Hour)
-			return b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
+			return b.stepAfter(b.Bounds.PauseThreshold+time.Second, Tick{})
 		}},
 		{shallotrouter.Cancelled, false, func(b *harness, n uint64) []Effect {
 			occupyAllSlots(b)
@@ -276,10 +276,10 @@
 // the end of a pause and the arrival of current state, and that a host that is cut
 // off resumes after a timeout.
 func TestNothingStartsAfterPauseBeforeStateIsRead(t *testing.T) {
-	for _, fresh := range []Event{Confirm{Directory: 1}, Hear{Report: Report{Host: "h2", Zone: "z"}}, nil} {
+	for _, fresh := range []Event{DirectoryUnchanged{Version: 1}, ReportReceived{Report: Report{Host: "h2", Zone: "z"}}, nil} {
 		b := newHarness(t, 1)
 		n := b.takeTicket()
-		effects := b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
+		effects := b.stepAfter(b.Bounds.PauseThreshold+time.Second, Tick{})
 		assert.Len(t, effectsOf[Refresh](effects), 1)
 		assert.Equal(t, Suspended, b.Phase())
 		assert.Empty(t, effectsOf[Start](b.submit("a", n, 1, time.Second)))
@@ -299,7 +299,7 @@
 	b := newHarness(t, 12) // 4 of them may be ejected
 	for range 60 {
 		for _, s := range effectsOf[Start](b.submit("a", b.takeTicket(), 1, time.Minute)) {
-			b.endStart(s, Wrong)
+			b.endStart(s, Failed)
 		}
 	}
 	ejected := 0
@@ -336,10 +336,10 @@
 func TestStatusHidesTokens(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit("a", b.takeTicket(), 3, time.Second)
-	surveyed := effectsOf[Surveyed](b.step(Survey{}))
+	surveyed := effectsOf[HostInspected](b.step(InspectHost{}))
 	require.Len(t, surveyed, 1)
 	assert.NotContains(t, fmt.Sprintf("%+v", surveyed[0]), strings.Repeat("0", 60))
-	assert.Equal(t, 1, surveyed[0].Status.Open)
+	assert.Equal(t, 1, surveyed[0].Status.OpenJobs)
 }
 
 // TestMoreHostsThanSlotsShareThePool requires that a host gets a slot of a pool with
@@ -347,7 +347,7 @@
 func TestMoreHostsThanSlotsShareThePool(t *testing.T) {
 	b := newHarness(t, 1)
 	for _, name := range []string{"h0", "h2", "h3", "h4"} {
-		b.step(Hear{Report: Report{Host: name, Zone: "z", Incarnation: 1}})
+		b.step(ReportReceived{Report: Report{Host: name, Zone: "z", Incarnation: 1}})
 	}
 	assert.Len(t, effectsOf[Start](append(b.submit("a", b.takeTicket(), 1, time.Second), b.advance(200*time.Millisecond)...)), 1)
 }
@@ -402,13 +402,13 @@
 // TestTaskReturnedAfterPauseIsNotSentAgain requires that a task that was sent before a
 // pause of the process, and provably did not start, is not sent again after it.
 func TestTaskReturnedAfterPauseIsNotSentAgain(t *testing.T) {
-	for _, first := range []Result{Done, Late} {
+	for _, first := range []Result{Done, OrderExpired} {
 		b := newHarness(t, 1)
 		starts := effectsOf[Start](b.submit("a", b.takeTicket(), 2, time.Hour))
 		require.Len(t, starts, 2)
-		b.stepAfter(b.Bounds.Pause+time.Second, Tick{})
-		effects := append(b.endStart(starts[0], first), b.endStart(starts[1], Late)...)
-		effects = append(effects, b.step(Confirm{Directory: 1})...)
+		b.stepAfter(b.Bounds.PauseThreshold+time.Second, Tick{})
+		effects := append(b.endStart(starts[0], first), b.endStart(starts[1], OrderExpired)...)
+		effects = append(effects, b.step(DirectoryUnchanged{Version: 1})...)
 		effects = append(effects, b.advance(2*time.Second)...)
 		assert.Empty(t, effectsOf[Start](effects))
 		replies := effectsOf[Reply](effects)
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -33,7 +33,7 @@
 	division := divider.Divide(float64(slots), s.poolDemands)
 	p.level = division.Level
 	s.setFlowWeights(p, division)
-	for _, r := range divider.Lay(division, holders) {
+	for _, r := range divider.AssignRanges(division, holders) {
 		s.applyRange(p, r)
 	}
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -8,60 +8,60 @@
 	"github.com/shallotrouter/shallotrouter/internal/declarer"
 )
 
-// Survey requests the host's status. It is answered by a Surveyed effect.
-type Survey struct{ Request uint64 }
+// InspectHost requests the host's status. It is answered by a HostInspected effect.
+type InspectHost struct{ Request uint64 }
 
-func (Survey) event() {}
+func (InspectHost) event() {}
 
-// Surveyed answers a Survey request.
-type Surveyed struct {
+// HostInspected answers an InspectHost request.
+type HostInspected struct {
 	Request uint64
 	Status  Status
 }
 
-func (Surveyed) effect() {}
+func (HostInspected) effect() {}
 
 // Status is the status of a host for operators.
 type Status struct {
-	Host      string `json:"host"`
-	Zone      string `json:"zone"`
-	Phase     Phase  `json:"phase"`
-	Version   uint64 `json:"version"`
-	Preset    string `json:"preset"`
-	Directory uint64 `json:"directory"`
-	Open      int    `json:"open"`
-	Waiting   int    `json:"waiting"`
-	Kept      int    `json:"kept"`
-	KeptBytes int    `json:"kept_bytes"`
-	Ranges    int    `json:"ranges"`
-	// Age is the time since the platform was last read; -1 means never.
-	Age     time.Duration  `json:"age"`
-	Peers   []PeerStatus   `json:"peers"`
-	Targets []TargetStatus `json:"targets"`
-	Clients []ClientStatus `json:"clients"`
-	Quotas  []QuotaStatus  `json:"quotas"`
+	Host             string `json:"host"`
+	Zone             string `json:"zone"`
+	Phase            Phase  `json:"phase"`
+	ConfigVersion    uint64 `json:"version"`
+	Preset           string `json:"preset"`
+	DirectoryVersion uint64 `json:"directory"`
+	OpenJobs         int    `json:"open"`
+	WaitingTasks     int    `json:"waiting"`
+	RetainedJobs     int    `json:"kept"`
+	RetainedBytes    int    `json:"kept_bytes"`
+	TicketRanges     int    `json:"ranges"`
+	// PlatformAge is the time since the platform was last read; -1 means never.
+	PlatformAge time.Duration  `json:"age"`
+	Peers       []PeerStatus   `json:"peers"`
+	Targets     []TargetStatus `json:"targets"`
+	Clients     []ClientStatus `json:"clients"`
+	Quotas      []QuotaStatus  `json:"quotas"`
 }
 
 // PeerStatus is the state of one peer as the host sees it.
 type PeerStatus struct {
-	Host    string        `json:"host"`
-	State   Presence      `json:"state"`
-	Age     time.Duration `json:"age"`
-	Version uint64        `json:"version"`
+	Host          string        `json:"host"`
+	State         PeerState     `json:"state"`
+	ReportAge     time.Duration `json:"age"`
+	ConfigVersion uint64        `json:"version"`
 }
 
 // TargetStatus is the state of one target as the host sees it.
 type TargetStatus struct {
-	Target  string  `json:"target"`
-	Service string  `json:"service"`
-	State   State   `json:"state"`
-	Slots   int     `json:"slots"`
-	Own     int     `json:"own"`
-	Others  int     `json:"others"`
-	Ratio   float64 `json:"ratio"`
-	Ejector string  `json:"ejector,omitempty"`
-	// Why describes what caused the target's state.
-	Why string `json:"why,omitempty"`
+	Target       string      `json:"target"`
+	Service      string      `json:"service"`
+	State        TargetState `json:"state"`
+	Slots        int         `json:"slots"`
+	OwnTasks     int         `json:"own"`
+	PeerTasks    int         `json:"others"`
+	RunTimeRatio float64     `json:"ratio"`
+	Ejector      string      `json:"ejector,omitempty"`
+	// Reason describes what caused the target's state.
+	Reason string `json:"why,omitempty"`
 }
 
 // ClientStatus is the state of one client of one service at the host.
@@ -83,24 +83,24 @@
 }
 
 // handleSurvey answers with the host's status.
-func (s *Scheduler) handleSurvey(e Survey) {
+func (s *Scheduler) handleSurvey(e InspectHost) {
 	st := Status{
-		Host: s.Host, Zone: s.Zone, Phase: s.Phase(), Directory: s.directory.Version,
-		Open: s.openJobs, Waiting: s.waitingTasks, Kept: len(s.retained), KeptBytes: s.retainedBytes, Ranges: s.ledger.Ranges(),
+		Host: s.Host, Zone: s.Zone, Phase: s.Phase(), DirectoryVersion: s.directory.Version,
+		OpenJobs: s.openJobs, WaitingTasks: s.waitingTasks, RetainedJobs: len(s.retained), RetainedBytes: s.retainedBytes, TicketRanges: s.ledger.Ranges(),
 	}
 	if s.config != nil {
-		st.Version, st.Preset = s.config.Version, string(s.config.Row.Preset)
+		st.ConfigVersion, st.Preset = s.config.Version, string(s.config.Row.Preset)
 	}
 	for _, r := range s.peers {
 		st.Peers = append(st.Peers, PeerStatus{
-			Host: r.report.Host, State: Presence(r.machine.Current()), Age: s.now.Sub(r.lastReceived), Version: r.report.Config,
+			Host: r.report.Host, State: PeerState(r.machine.Current()), ReportAge: s.now.Sub(r.lastReceived), ConfigVersion: r.report.Config,
 		})
 	}
 	slices.SortFunc(st.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Host, b.Host) })
 	for _, name := range s.serviceNames {
 		s.addPoolStatus(s.pools[name], &st)
 	}
-	s.emit(Surveyed{Request: e.Request, Status: st})
+	s.emit(HostInspected{Request: e.Request, Status: st})
 }
 
 func (s *Scheduler) addPoolStatus(p *pool, st *Status) {
@@ -108,7 +108,7 @@
 	for _, t := range p.targets {
 		st.Targets = append(st.Targets, TargetStatus{
 			Target: t.name, Service: p.service.Name, State: t.state(), Slots: t.slots,
-			Own: t.ownTasks, Others: t.peerTasks, Ratio: t.runTimeRatio, Ejector: t.ejector, Why: t.stateReason,
+			OwnTasks: t.ownTasks, PeerTasks: t.peerTasks, RunTimeRatio: t.runTimeRatio, Ejector: t.ejector, Reason: t.stateReason,
 		})
 	}
 	for _, name := range p.clientNames() {
@@ -140,8 +140,8 @@
 	return View{Phase: s.Phase(), Config: s.config, Directory: s.directory, Hosts: hosts}
 }
 
-// Open returns the number of jobs without a final answer.
-func (s *Scheduler) Open() int { return s.openJobs }
+// OpenJobs returns the number of jobs without a final answer.
+func (s *Scheduler) OpenJobs() int { return s.openJobs }
 
-// Waiting returns the number of tasks that wait for a slot.
-func (s *Scheduler) Waiting() int { return s.waitingTasks }
+// WaitingTasks returns the number of tasks that wait for a slot.
+func (s *Scheduler) WaitingTasks() int { return s.waitingTasks }
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -15,7 +15,7 @@
 	address          string
 	pool             *pool
 	machine          *fsm.FSM
-	currentState     State
+	currentState     TargetState
 	stateReason      string    // what caused the current state
 	listedLeaving    bool      // the directory lists the target as leaving
 	leavingUntil     time.Time // until then the target's own answer that it is leaving counts
@@ -106,7 +106,7 @@
 
 // state returns the cached state of the machine; a query of the machine itself
 // takes a lock.
-func (t *target) state() State { return t.currentState }
+func (t *target) state() TargetState { return t.currentState }
 
 // isUsable reports whether the target may get new tasks, apart from trials.
 func (t *target) isUsable() bool {
@@ -150,10 +150,10 @@
 		s.reportViolation("target life cycle", "event %s of target %s: %v", event, t.name, err)
 		return
 	}
-	t.currentState, t.stateReason = State(t.machine.Current()), reason
+	t.currentState, t.stateReason = TargetState(t.machine.Current()), reason
 	t.pool.divisionOutdated = true
 	s.reportUrgent = true
-	s.emit(Decide{Action: Mark, Target: t.name, Outcome: "", Reason: string(event) + " " + reason})
+	s.emit(Decision{Action: StateChanged, Target: t.name, Outcome: "", Reason: string(event) + " " + reason})
 }
 
 // updateLeaving moves a target into or out of Departing. A target is leaving by
@@ -162,7 +162,7 @@
 	leaving := t.listedLeaving || s.now.Before(t.peerLeavingUntil) || s.now.Before(t.leavingUntil) || s.config.Targets.Has(t.name)
 	if leaving && t.state() != Departing {
 		s.changeTargetState(t, targetLeave, "told to leave")
-		s.emit(Retire{Target: t.name})
+		s.emit(CloseIdle{Target: t.name})
 	}
 	if !leaving && t.state() == Departing {
 		s.changeTargetState(t, targetReturn, "listed as live")
@@ -230,7 +230,7 @@
 	t.trialInterval = min(max(2*t.trialInterval, minInterval), maxTrialInterval)
 	t.trialAt = s.now.Add(t.trialInterval)
 	s.changeTargetState(t, targetEject, reason)
-	s.emit(Retire{Target: t.name})
+	s.emit(CloseIdle{Target: t.name})
 }
 
 // canEject reports whether one more target may be ejected.
--- a/internal/scheduler/target_test.go
+++ b/internal/scheduler/target_test.go
@@ -15,7 +15,7 @@
 	ways := map[string]func(b *harness){
 		"list": func(b *harness) { b.step(Locate{Directory: listed}) },
 		"peer": func(b *harness) {
-			b.step(Hear{Report: Report{Host: "h2", Zone: "z", Uses: []Use{{Target: "t0", State: Departing}}}})
+			b.step(ReportReceived{Report: Report{Host: "h2", Zone: "z", Uses: []TargetUse{{Target: "t0", State: Departing}}}})
 		},
 		"own answer": func(b *harness) {
 			refused := false
@@ -52,13 +52,13 @@
 // the other.
 func TestHostDoesNotRepeatLeavingReportOfPeer(t *testing.T) {
 	b := newHarness(t, 2)
-	report := Report{Host: "h2", Zone: "z", Uses: []Use{{Target: "t0", State: Departing}}}
-	b.step(Hear{Report: report})
+	report := Report{Host: "h2", Zone: "z", Uses: []TargetUse{{Target: "t0", State: Departing}}}
+	b.step(ReportReceived{Report: report})
 	for _, u := range b.buildReport().Uses {
 		assert.NotEqual(t, Departing, u.State)
 	}
 	report.Uses = nil
-	b.step(Hear{Report: report})
+	b.step(ReportReceived{Report: report})
 	assert.Equal(t, Departing, b.targets["t0"].state())
 	b.advance(leavingPeriod + time.Second)
 	assert.Equal(t, Live, b.targets["t0"].state())
@@ -68,10 +68,10 @@
 // still counts after the peer becomes unresponsive or restarts.
 func TestLeavingReportOutlastsPeer(t *testing.T) {
 	b := newHarness(t, 2)
-	b.step(Hear{Report: Report{Host: "h2", Zone: "z", Incarnation: 1, Uses: []Use{{Target: "t0", State: Departing}}}})
-	b.advance(b.Bounds.Quiet + time.Second)
+	b.step(ReportReceived{Report: Report{Host: "h2", Zone: "z", Incarnation: 1, Uses: []TargetUse{{Target: "t0", State: Departing}}}})
+	b.advance(b.Bounds.PeerTimeout + time.Second)
 	assert.Equal(t, Departing, b.targets["t0"].state(), "after the peer became unresponsive")
-	b.step(Hear{Report: Report{Host: "h2", Zone: "z", Incarnation: 2}})
+	b.step(ReportReceived{Report: Report{Host: "h2", Zone: "z", Incarnation: 2}})
 	assert.Equal(t, Departing, b.targets["t0"].state(), "after the peer restarted")
 }
 
@@ -84,13 +84,13 @@
 		inFlight = effectsOf[Start](b.submit("a", b.takeTicket(), 8, time.Minute))
 		for range 40 { // no target is reachable
 			for _, s := range inFlight {
-				inFlight = append(inFlight[1:], effectsOf[Start](b.endStart(s, Unsent))...)
+				inFlight = append(inFlight[1:], effectsOf[Start](b.endStart(s, NotSent))...)
 			}
-			inFlight = append(inFlight, effectsOf[Start](b.advance(b.Bounds.Tick))...)
+			inFlight = append(inFlight, effectsOf[Start](b.advance(b.Bounds.TickInterval))...)
 		}
 		done := 0
 		for range 2000 {
-			effects := b.advance(b.Bounds.Tick)
+			effects := b.advance(b.Bounds.TickInterval)
 			inFlight = append(inFlight, effectsOf[Start](effects)...)
 			for _, s := range inFlight {
 				inFlight = append(inFlight[1:], effectsOf[Start](b.endStart(s, Done))...)
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -49,10 +49,10 @@
 // publishIfDue publishes a report when the report interval is over. The interval is
 // shorter while the last report misleads the peers or a report is urgent.
 func (s *Scheduler) publishIfDue() {
-	period := s.Bounds.Calm
+	period := s.Bounds.ReportInterval
 	for _, p := range s.pools {
 		if s.isReportMisleading(p) {
-			period = s.Bounds.Hurry
+			period = s.Bounds.FastReportInterval
 		}
 	}
 	if s.reportUrgent {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -268,9 +268,9 @@
 		return
 	}
 	age, known := s.Runner.Follower.Age()
-	v.Age = -1
+	v.PlatformAge = -1
 	if known {
-		v.Age = age
+		v.PlatformAge = age
 	}
 	writeJSON(w, http.StatusOK, 0, v)
 }
--- a/internal/ticketer/ticket.go
+++ b/internal/ticketer/ticket.go
@@ -81,20 +81,20 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// Use is the state of a ticket number in a Ledger.
-type Use string
+// State is the state of a ticket number in a Ledger.
+type State string
 
 const (
-	// Fresh is an issued number that is unused and has not expired.
-	Fresh Use = "fresh"
+	// Unused is an issued number that is unused and has not expired.
+	Unused State = "fresh"
 	// Used is a number that was used.
-	Used Use = "used"
-	// Stale is an unused number that has expired.
-	Stale Use = "stale"
-	// Gone is a number whose use the ledger no longer records.
-	Gone Use = "gone"
-	// Foreign is a number that the ledger has not issued.
-	Foreign Use = "foreign"
+	Used State = "used"
+	// Expired is an unused number that has expired.
+	Expired State = "stale"
+	// Forgotten is a number whose use the ledger no longer records.
+	Forgotten State = "gone"
+	// NeverIssued is a number that the ledger has not issued.
+	NeverIssued State = "foreign"
 )
 
 // issueMark records that all numbers below next were issued before the end of the
@@ -105,11 +105,11 @@
 }
 
 // Ledger issues ticket numbers and records the used ones as ranges. It keeps an
-// expired number for another Life and then forgets it. It is not safe for concurrent
-// use.
+// expired number for another TicketLifetime and then forgets it. It is not safe for
+// concurrent use.
 type Ledger struct {
-	// Life is how long an unused ticket is valid.
-	Life time.Duration
+	// TicketLifetime is how long an unused ticket is valid.
+	TicketLifetime time.Duration
 
 	next           uint64
 	expiredBelow   uint64 // numbers below have expired
@@ -118,15 +118,15 @@
 	used           spanSet
 }
 
-// Give issues count consecutive numbers and returns the first.
-func (l *Ledger) Give(now time.Time, count int) uint64 {
+// Issue issues count consecutive numbers and returns the first.
+func (l *Ledger) Issue(now time.Time, count int) uint64 {
 	l.Expire(now)
 	if l.next == 0 {
 		l.next, l.expiredBelow, l.forgottenBelow = 1, 1, 1
 	}
 	first := l.next
 	l.next += uint64(count)
-	intervalStart := now.Truncate(l.Life / marksPerLife)
+	intervalStart := now.Truncate(l.TicketLifetime / marksPerLife)
 	if n := len(l.marks); n > 0 && l.marks[n-1].intervalStart.Equal(intervalStart) {
 		l.marks[n-1].next = l.next
 	} else {
@@ -135,23 +135,23 @@
 	return first
 }
 
-// marksPerLife is the number of intervals into which Life is divided; the numbers
-// issued in one interval expire together.
+// marksPerLife is the number of intervals into which TicketLifetime is divided; the
+// numbers issued in one interval expire together.
 const marksPerLife = 64
 
 // Expire updates which numbers have expired and which are forgotten at the time now.
 func (l *Ledger) Expire(now time.Time) {
-	interval := l.Life / marksPerLife
+	interval := l.TicketLifetime / marksPerLife
 	for len(l.marks) > 0 {
 		age := now.Sub(l.marks[0].intervalStart)
-		if age <= 2*(l.Life+interval) {
+		if age <= 2*(l.TicketLifetime+interval) {
 			break
 		}
 		l.forgottenBelow = l.marks[0].next
 		l.marks = l.marks[1:]
 	}
 	for _, m := range l.marks {
-		if now.Sub(m.intervalStart) <= l.Life+interval {
+		if now.Sub(m.intervalStart) <= l.TicketLifetime+interval {
 			break
 		}
 		l.expiredBelow = m.next
@@ -160,32 +160,32 @@
 	l.used.removeBelow(l.forgottenBelow)
 }
 
-// Look returns the use of a number without changing it.
-func (l *Ledger) Look(number uint64) Use {
+// Lookup returns the use of a number without changing it.
+func (l *Ledger) Lookup(number uint64) State {
 	switch {
 	case number == 0 || number >= l.next:
-		return Foreign
+		return NeverIssued
 	case number < l.forgottenBelow:
-		return Gone
+		return Forgotten
 	case l.used.has(number):
 		return Used
 	case number < l.expiredBelow:
-		return Stale
+		return Expired
 	}
-	return Fresh
+	return Unused
 }
 
-// Take marks a fresh number as used and reports whether it was fresh.
-func (l *Ledger) Take(number uint64) bool {
-	if l.Look(number) != Fresh {
+// Use marks an unused, valid number as used and reports whether it was one.
+func (l *Ledger) Use(number uint64) bool {
+	if l.Lookup(number) != Unused {
 		return false
 	}
 	l.used.add(number)
 	return true
 }
 
-// Return marks a number as unused again. It must have just been marked by Take.
-func (l *Ledger) Return(number uint64) { l.used.remove(number) }
+// Release marks a number as unused again. It must have just been marked by Use.
+func (l *Ledger) Release(number uint64) { l.used.remove(number) }
 
 // Ranges returns the number of ranges in which the used numbers are stored.
 func (l *Ledger) Ranges() int { return len(l.used.spans) }
--- a/internal/ticketer/ticket_test.go
+++ b/internal/ticketer/ticket_test.go
@@ -40,7 +40,7 @@
 
 func (m *model) issue(t *rapid.T) {
 	n := rapid.IntRange(1, 20).Draw(t, "count")
-	first := m.ledger.Give(m.now, n)
+	first := m.ledger.Issue(m.now, n)
 	if first != m.highest+1 {
 		t.Fatalf("first number is %d after %d", first, m.highest)
 	}
@@ -52,11 +52,11 @@
 
 func (m *model) consume(t *rapid.T) {
 	n := rapid.Uint64Range(1, m.highest+2).Draw(t, "number")
-	consumed, issuedAt := m.ledger.Take(n), m.issuedAt[n]
+	consumed, issuedAt := m.ledger.Use(n), m.issuedAt[n]
 	if consumed && (m.used[n] || issuedAt.IsZero()) {
 		t.Fatalf("number %d was used twice or was never issued", n)
 	}
-	if !consumed && !m.used[n] && !issuedAt.IsZero() && m.now.Sub(issuedAt) < m.ledger.Life {
+	if !consumed && !m.used[n] && !issuedAt.IsZero() && m.now.Sub(issuedAt) < m.ledger.TicketLifetime {
 		t.Fatalf("number %d is valid and could not be used", n)
 	}
 	m.used[n] = m.used[n] || consumed
@@ -64,8 +64,8 @@
 
 func (m *model) release(t *rapid.T) {
 	n := rapid.Uint64Range(1, m.highest+2).Draw(t, "number")
-	if m.ledger.Take(n) {
-		m.ledger.Return(n)
+	if m.ledger.Use(n) {
+		m.ledger.Release(n)
 	}
 }
 
@@ -76,11 +76,11 @@
 
 func (m *model) check(t *rapid.T) {
 	for n, issuedAt := range m.issuedAt {
-		use := m.ledger.Look(n)
-		if m.used[n] && use != Used && use != Gone {
+		use := m.ledger.Lookup(n)
+		if m.used[n] && use != Used && use != Forgotten {
 			t.Fatalf("number %d was used and is %s", n, use)
 		}
-		if !m.used[n] && use == Fresh && m.now.Sub(issuedAt) > m.ledger.Life+m.ledger.Life/8 {
+		if !m.used[n] && use == Unused && m.now.Sub(issuedAt) > m.ledger.TicketLifetime+m.ledger.TicketLifetime/8 {
 			t.Fatalf("number %d is past its lifetime and still fresh", n)
 		}
 	}
@@ -89,7 +89,7 @@
 // TestLedgerMatchesModel requires that the ledger agrees with a model of every number.
 func TestLedgerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{ledger: &Ledger{Life: time.Minute}, now: startTime, issuedAt: make(map[uint64]time.Time), used: make(map[uint64]bool)}
+		m := &model{ledger: &Ledger{TicketLifetime: time.Minute}, now: startTime, issuedAt: make(map[uint64]time.Time), used: make(map[uint64]bool)}
 		t.Repeat(map[string]func(*rapid.T){"give": m.issue, "take": m.consume, "return": m.release, "pass": m.advance, "": m.check})
 	})
 }
@@ -97,15 +97,15 @@
 // TestTicketsUsedInOrderTakeOneRange requires that tickets used in order are stored as
 // one range.
 func TestTicketsUsedInOrderTakeOneRange(t *testing.T) {
-	l := &Ledger{Life: time.Minute}
-	first := l.Give(startTime, 1000)
+	l := &Ledger{TicketLifetime: time.Minute}
+	first := l.Issue(startTime, 1000)
 	for n := first; n < first+1000; n++ {
-		require.True(t, l.Take(n))
+		require.True(t, l.Use(n))
 	}
 	assert.Equal(t, 1, l.Ranges())
 	l.Expire(startTime.Add(3 * time.Minute))
 	assert.Zero(t, l.Ranges())
-	assert.Equal(t, Gone, l.Look(first))
+	assert.Equal(t, Forgotten, l.Lookup(first))
 }
 
 func FuzzOpen(f *testing.F) {
