--- a/cmd/shallotctl/change.go
+++ b/cmd/shallotctl/change.go
@@ -113,7 +113,7 @@
 	if err := parseFlags(set, args, 1); err != nil {
 		return err
 	}
-	return p.change(ctx, t, "preset "+set.Arg(0), operator.SwitchPreset(declarer.Name(set.Arg(0))))
+	return p.change(ctx, t, "preset "+set.Arg(0), operator.SwitchPreset(declarer.PresetName(set.Arg(0))))
 }
 
 // change makes a change and prints its version.
--- a/cmd/shallotrouter/cut_test.go
+++ b/cmd/shallotrouter/cut_test.go
@@ -76,9 +76,9 @@
 }
 
 // setPreset writes a preset to the platform and returns the version of the change.
-func (d *deployment) setPreset(preset declarer.Name) uint64 {
+func (d *deployment) setPreset(preset declarer.PresetName) uint64 {
 	client := storer.NewClient(d.platform.address, 5*time.Second)
-	record, err := client.Read(d.t.Context(), storer.Row, 0)
+	record, err := client.Read(d.t.Context(), storer.ConfigKey, 0)
 	require.NoError(d.t, err)
 	current, err := declarer.Decode(record.Version, record.Value)
 	require.NoError(d.t, err)
@@ -86,7 +86,7 @@
 	row.Preset = preset
 	value, err := row.Encode()
 	require.NoError(d.t, err)
-	version, err := client.Swap(d.t.Context(), storer.Row, record.Version, value)
+	version, err := client.Swap(d.t.Context(), storer.ConfigKey, record.Version, value)
 	require.NoError(d.t, err)
 	return version
 }
@@ -112,7 +112,7 @@
 	for _, p := range d.daemons {
 		d.await(func() bool { v := d.status(p); return v.Phase == scheduler.Serving && len(v.Peers) == 1 })
 	}
-	for i, preset := range []declarer.Name{declarer.Peak, declarer.Ordinary} {
+	for i, preset := range []declarer.PresetName{declarer.Peak, declarer.Ordinary} {
 		before := d.status(d.daemons[0]).ConfigVersion
 		proxy.setBlocked(true)
 		version := d.setPreset(preset)
--- a/cmd/shallotrouter/failure_test.go
+++ b/cmd/shallotrouter/failure_test.go
@@ -336,9 +336,9 @@
 	d := deploy(t, "", 1, 3, "bogota-norte", "medellin-sur", "cali-oeste")
 	client := storer.NewClient(d.platform.address, 5*time.Second)
 	versions := make(map[string]uint64)
-	for i, preset := range []declarer.Name{declarer.Peak, declarer.Maintenance, declarer.Ordinary, declarer.Peak} {
+	for i, preset := range []declarer.PresetName{declarer.Peak, declarer.Maintenance, declarer.Ordinary, declarer.Peak} {
 		d.putJSON(d.platform, "/faults", faker.Faults{Delay: 200 * time.Millisecond, Stale: 2 * i})
-		record, err := client.Read(t.Context(), storer.Row, 0)
+		record, err := client.Read(t.Context(), storer.ConfigKey, 0)
 		require.NoError(t, err)
 		current, err := declarer.Decode(record.Version, record.Value)
 		require.NoError(t, err)
@@ -346,11 +346,11 @@
 		row.Preset = preset
 		value, err := row.Encode()
 		require.NoError(t, err)
-		version, err := client.Swap(t.Context(), storer.Row, record.Version, value)
+		version, err := client.Swap(t.Context(), storer.ConfigKey, record.Version, value)
 		for err != nil { // the read was stale; read again
-			record, err = client.Read(t.Context(), storer.Row, 0)
+			record, err = client.Read(t.Context(), storer.ConfigKey, 0)
 			require.NoError(t, err)
-			version, err = client.Swap(t.Context(), storer.Row, record.Version, value)
+			version, err = client.Swap(t.Context(), storer.ConfigKey, record.Version, value)
 		}
 		require.Eventually(t, func() bool {
 			for _, p := range d.daemons {
--- a/cmd/shallotrouter/process_test.go
+++ b/cmd/shallotrouter/process_test.go
@@ -114,7 +114,7 @@
 	}
 	value, err := declarer.Row{Text: text, Preset: declarer.Ordinary}.Encode()
 	require.NoError(t, err)
-	_, err = storer.NewClient(d.platform.address, 5*time.Second).Swap(t.Context(), storer.Row, 0, value)
+	_, err = storer.NewClient(d.platform.address, 5*time.Second).Swap(t.Context(), storer.ConfigKey, 0, value)
 	require.NoError(t, err)
 	for _, zone := range zones {
 		for i := range targets {
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -69,11 +69,11 @@
 		if err != nil {
 			return err
 		}
-		value, err := declarer.Row{Text: string(text), Preset: declarer.Name(*preset)}.Encode()
+		value, err := declarer.Row{Text: string(text), Preset: declarer.PresetName(*preset)}.Encode()
 		if err != nil {
 			return err
 		}
-		p.Store(storer.Row, value)
+		p.Store(storer.ConfigKey, value)
 	}
 	return serve(*listen, p.Handler())
 }
--- a/internal/assembler/daemon.go
+++ b/internal/assembler/daemon.go
@@ -107,7 +107,7 @@
 	}
 	s := &httpServer{server: web, listener: listener, serveErrors: make(chan error, 1)}
 	d.runner.Reporter.Run(ctx)
-	d.runner.Reporter.Dial(d.Settings.Peers)
+	d.runner.Reporter.SetPeers(d.Settings.Peers)
 	go s.run()
 	go (&component{work: d.runner.Run}).run(ctx)
 	go (&component{work: d.runner.Follower.Run}).run(ctx)
@@ -195,31 +195,31 @@
 		Scheduler: &scheduler.Scheduler{
 			Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation, Bounds: settings.Bounds,
 		},
-		Clock: d.Clock, Log: d.Log, Meter: d.meter, Seeds: settings.Peers,
+		Clock: d.Clock, Log: d.Log, Meter: d.meter, SeedPeers: settings.Peers,
 		Throttle: logger.NewThrottle(d.Log, settings.MaxLogLines),
 	}
 	r.Throttle.OnOmit = d.meter.Omitted.Inc
 	r.Init()
 	r.Dispatcher = &dispatcher.Dispatcher{
 		Clock: d.Clock, Sink: r, Identity: fmt.Sprintf("%s/%x", settings.Name, incarnation),
-		Dial: settings.DialTimeout, Unacked: settings.UnackedTimeout, MaxResult: settings.MaxResultBytes,
+		DialTimeout: settings.DialTimeout, UnackedTimeout: settings.UnackedTimeout, MaxResultBytes: settings.MaxResultBytes,
 	}
 	r.Reporter = &reporter.Reporter{
-		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.PeerKey, TLS: keys.ClientConfig(), Seed: incarnation, Observe: d.meter.CountReport,
+		Clock: d.Clock, Log: d.Log, Sink: r, Secret: settings.PeerKey, TLS: keys.ClientConfig(), Seed: incarnation, OnSend: d.meter.CountReport,
 		Self: reporter.Hello{Host: settings.Name, Zone: settings.Zone, Address: settings.Address, Incarnation: incarnation},
 	}
 	r.Follower = &follower.Follower{
 		Clock: d.Clock, Log: d.Log, Client: storer.NewClient(settings.PlatformAddress, settings.PlatformTimeout), Zone: settings.Zone, Sink: r,
-		Every: settings.PollInterval, Slowest: settings.MaxPollInterval, Random: seed, Observe: d.meter.CountPoll,
+		PollInterval: settings.PollInterval, MaxPollInterval: settings.MaxPollInterval, Random: seed, OnPoll: d.meter.CountPoll,
 	}
 	r.Follower.Init()
 	d.runner = r
 	web := &server.Server{
-		Log: d.Log, Runner: r, Meter: d.meter, Sealer: sealer, Peers: r.Reporter,
-		Address: settings.Address, Incarnation: incarnation, Secret: settings.PeerKey, Operator: settings.OperatorTokenHash,
-		Body: settings.MaxBodyBytes, Requests: settings.MaxRequests, Drain: d.Drain,
+		Log: d.Log, Runner: r, Meter: d.meter, Sealer: sealer, PeerHandler: r.Reporter,
+		Address: settings.Address, Incarnation: incarnation, Secret: settings.PeerKey, OperatorHash: settings.OperatorTokenHash,
+		MaxBodyBytes: settings.MaxBodyBytes, MaxOpenRequests: settings.MaxRequests, Drain: d.Drain,
 		Forwarder: &server.Forwarder{
-			Clock: d.Clock, HTTP: keys.HTTPClient(settings.DialTimeout), Scheme: keys.Scheme(), Secret: settings.PeerKey, Ask: forwardTimeout, Seal: sealer.Seal,
+			Clock: d.Clock, HTTP: keys.HTTPClient(settings.DialTimeout), Scheme: keys.Scheme(), Secret: settings.PeerKey, RequestTimeout: forwardTimeout, Seal: sealer.Seal,
 		},
 	}
 	return web.Handler(), keys.ServerConfig(), nil
--- a/internal/bencher/chaos_test.go
+++ b/internal/bencher/chaos_test.go
@@ -128,7 +128,7 @@
 }
 
 func (c *chaosTest) changePreset(t *rapid.T) {
-	c.SetPreset(rapid.SampledFrom(declarer.Names()).Draw(t, "preset"))
+	c.SetPreset(rapid.SampledFrom(declarer.PresetNames()).Draw(t, "preset"))
 	for _, n := range c.Nodes {
 		if rapid.Bool().Draw(t, "reached") {
 			c.Deliver(n, scheduler.Adopt{Config: c.Config})
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -34,7 +34,7 @@
 	// Text is the text of the declarations.
 	Text string
 	// Preset is the preset that is active at the start.
-	Preset declarer.Name
+	Preset declarer.PresetName
 	// Bounds are the limits and intervals of the schedulers.
 	Bounds scheduler.Bounds
 	// Scatter makes the schedulers place tasks at random instead of evenly.
@@ -99,7 +99,7 @@
 	reachableSince time.Time // start of the connection to its peers
 
 	pendingEvents []scheduler.Event // events that arrived while the host was paused
-	packer        reporter.Packer
+	packer        reporter.DeltaEncoder
 	configVersion uint64 // at the last check of the invariants
 }
 
@@ -171,7 +171,7 @@
 
 // SetPreset creates a new version of the configuration with the preset. A host uses
 // it once it receives it in a scheduler.Adopt event.
-func (w *World) SetPreset(preset declarer.Name) {
+func (w *World) SetPreset(preset declarer.PresetName) {
 	raw, err := declarer.Row{Text: w.Text, Preset: preset}.Encode()
 	if err != nil {
 		panic(err)
@@ -304,7 +304,7 @@
 // sendReport sends a report to the peers of the zone that can be reached, and counts
 // it.
 func (w *World) sendReport(n *Node, report scheduler.Report) {
-	delta := n.packer.Pack(report)
+	delta := n.packer.Encode(report)
 	data, err := reporter.Message{Delta: &delta}.Encode()
 	if err != nil {
 		panic(err)
--- a/internal/declarer/declarer_test.go
+++ b/internal/declarer/declarer_test.go
@@ -56,8 +56,8 @@
 		d, err := Parse(path, string(text))
 		require.NoError(t, err)
 		assert.NotEmpty(t, d.Clients)
-		assert.Len(t, d.Presets, len(Names()))
-		assert.False(t, d.Preset(Maintenance).Admit)
+		assert.Len(t, d.Presets, len(PresetNames()))
+		assert.False(t, d.Preset(Maintenance).AdmitJobs)
 	}
 }
 
@@ -79,7 +79,7 @@
 	f.Add(valid)
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if c, err := Decode(1, data); err == nil && c.Current().Name == "" {
+		if c, err := Decode(1, data); err == nil && c.ActivePreset().Name == "" {
 			t.Fatal("accepted a row without a preset")
 		}
 	})
--- a/internal/declarer/row.go
+++ b/internal/declarer/row.go
@@ -25,24 +25,24 @@
 // Row is the row of the platform's table that holds the declarations and the active
 // preset under one version.
 type Row struct {
-	Text   string `json:"text"`
-	Preset Name   `json:"preset"`
+	Text   string     `json:"text"`
+	Preset PresetName `json:"preset"`
 	// Drained are the targets that operators drain in addition to those in Text.
 	Drained []string `json:"drained,omitempty"`
 	// History holds the latest changes, the newest first.
 	History []Change `json:"history"`
 }
 
-// With returns a copy of the row with the change added to its history. The oldest change
+// WithChange returns a copy of the row with the change added to its history. The oldest change
 // is removed if the history is full.
-func (r Row) With(c Change) Row {
+func (r Row) WithChange(c Change) Row {
 	history := append([]Change{c}, r.History...)
 	r.History = history[:min(len(history), maxHistoryLength)]
 	return r
 }
 
-// Holds reports whether the history contains the change with the given ID.
-func (r Row) Holds(id string) bool {
+// HasChange reports whether the history contains the change with the given ID.
+func (r Row) HasChange(id string) bool {
 	for _, c := range r.History {
 		if c.ID == id {
 			return true
@@ -63,8 +63,8 @@
 	*Declarations
 }
 
-// Current returns the active preset.
-func (c *Config) Current() Preset { return c.Preset(c.Row.Preset) }
+// ActivePreset returns the active preset.
+func (c *Config) ActivePreset() Preset { return c.Preset(c.Row.Preset) }
 
 // Decode decodes and validates a stored row. A daemon keeps its current configuration when
 // a new one is invalid.
@@ -81,7 +81,7 @@
 		return nil, shallotrouter.Errorf(shallotrouter.Malformed, "row version %d has the unknown preset %q; switch to ordinary, peak or maintenance", version, c.Row.Preset)
 	}
 	for _, name := range c.Row.Drained {
-		declarations.Targets.Add(name)
+		declarations.DrainedTargets.Add(name)
 	}
 	c.Declarations = declarations
 	return c, nil
--- a/internal/dispatcher/conn.go
+++ b/internal/dispatcher/conn.go
@@ -75,7 +75,7 @@
 func (d *Dispatcher) setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Unacked.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.UnackedTimeout.Milliseconds()))
 	})
 	return errors.Join(err, optionErr)
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -53,13 +53,13 @@
 	// Identity is the first part of every task's identity. It is unique to this
 	// process.
 	Identity string
-	// Dial is the timeout of connecting to a target.
-	Dial time.Duration
-	// Unacked is how long sent data may stay unacknowledged before the connection is
-	// closed.
-	Unacked time.Duration
-	// MaxResult is the maximum size of a task's result in bytes.
-	MaxResult int64
+	// DialTimeout is the timeout of connecting to a target.
+	DialTimeout time.Duration
+	// UnackedTimeout is how long sent data may stay unacknowledged before the connection
+	// is closed.
+	UnackedTimeout time.Duration
+	// MaxResultBytes is the maximum size of a task's result.
+	MaxResultBytes int64
 
 	mutex sync.Mutex
 	pools map[string]*targetPool
@@ -73,10 +73,10 @@
 
 // Limits are the limits of the connections to the targets of a service.
 type Limits struct {
-	// Connections is the maximum number of open connections to one target.
-	Connections int
-	// Trust is how long an idle connection is kept open for reuse.
-	Trust time.Duration
+	// MaxConnections is the maximum number of open connections to one target.
+	MaxConnections int
+	// IdleTimeout is how long an idle connection is kept open for reuse.
+	IdleTimeout time.Duration
 }
 
 // Send sends one task in the background. The sink receives the result.
@@ -85,8 +85,8 @@
 	go c.run()
 }
 
-// Retire closes the idle connections to a target.
-func (d *Dispatcher) Retire(target string) {
+// CloseIdle closes the idle connections to a target.
+func (d *Dispatcher) CloseIdle(target string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if p := d.pools[target]; p != nil {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Keep removes the connection pools of all targets for which isNamed returns false, and
-// closes their idle connections.
-func (d *Dispatcher) Keep(isNamed func(target string) bool) {
+// RetainTargets removes the connection pools of all targets for which isNamed returns
+// false, and closes their idle connections.
+func (d *Dispatcher) RetainTargets(isNamed func(target string) bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for name, p := range d.pools {
@@ -113,7 +113,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	p := d.pools[e.Target]
-	if p != nil && p.address == e.Address && p.transport.MaxConnsPerHost == l.Connections && p.transport.IdleConnTimeout == l.Trust {
+	if p != nil && p.address == e.Address && p.transport.MaxConnsPerHost == l.MaxConnections && p.transport.IdleConnTimeout == l.IdleTimeout {
 		return p
 	}
 	if p != nil {
@@ -128,7 +128,7 @@
 }
 
 func (d *Dispatcher) newTransport(l Limits) *http.Transport {
-	dialer := &net.Dialer{Timeout: d.Dial, KeepAlive: l.Trust, Control: d.setUnackedTimeout}
+	dialer := &net.Dialer{Timeout: d.DialTimeout, KeepAlive: l.IdleTimeout, Control: d.setUnackedTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, address)
@@ -137,9 +137,9 @@
 			}
 			return &conn{Conn: c, clock: d.Clock}, nil
 		},
-		MaxConnsPerHost:        l.Connections,
-		MaxIdleConnsPerHost:    l.Connections,
-		IdleConnTimeout:        l.Trust,
+		MaxConnsPerHost:        l.MaxConnections,
+		MaxIdleConnsPerHost:    l.MaxConnections,
+		IdleConnTimeout:        l.IdleTimeout,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ResponseHeaderTimeout:  0,
@@ -242,12 +242,12 @@
 	if response.Header.Get(HeaderTask) != c.taskID() {
 		return scheduler.NoAnswer, nil, errWrongTask
 	}
-	payload, err := io.ReadAll(io.LimitReader(response.Body, c.dispatcher.MaxResult+1))
+	payload, err := io.ReadAll(io.LimitReader(response.Body, c.dispatcher.MaxResultBytes+1))
 	if err != nil {
 		return scheduler.NoAnswer, nil, err
 	}
-	if int64(len(payload)) > c.dispatcher.MaxResult {
-		return scheduler.Failed, nil, fmt.Errorf("the result exceeds %d bytes", c.dispatcher.MaxResult)
+	if int64(len(payload)) > c.dispatcher.MaxResultBytes {
+		return scheduler.Failed, nil, fmt.Errorf("the result exceeds %d bytes", c.dispatcher.MaxResultBytes)
 	}
 	if response.StatusCode != http.StatusOK {
 		return scheduler.Failed, nil, fmt.Errorf("the target answered %s", response.Status)
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -85,7 +85,7 @@
 
 func newDispatcher(s sink) *Dispatcher {
 	return &Dispatcher{
-		Clock: clockwork.NewRealClock(), Sink: s, Identity: "h/1", Dial: time.Second, Unacked: time.Second, MaxResult: 100,
+		Clock: clockwork.NewRealClock(), Sink: s, Identity: "h/1", DialTimeout: time.Second, UnackedTimeout: time.Second, MaxResultBytes: 100,
 	}
 }
 
@@ -95,7 +95,7 @@
 	d.Send(scheduler.Start{
 		Number: number, Target: "t", Address: address, Kind: "k", Payload: []byte("payload"),
 		StartBy: now.Add(startWithin), AnswerBy: now.Add(2 * time.Second),
-	}, Limits{Connections: 4, Trust: time.Minute})
+	}, Limits{MaxConnections: 4, IdleTimeout: time.Minute})
 	select {
 	case e := <-s:
 		return e.(scheduler.RunEnded)
@@ -223,7 +223,7 @@
 func (d *discarder) run() { _, _ = io.Copy(io.Discard, d.conn) }
 
 // TestExpiredConnectionIsNotReused checks that no task is sent on a connection that was
-// idle for longer than its timeout, or that Retire has closed.
+// idle for longer than its timeout, or that CloseIdle has closed.
 func TestExpiredConnectionIsNotReused(t *testing.T) {
 	var connections sync.Map
 	p := newScriptedTarget(t, func(c net.Conn, r *http.Request, _ int64) bool {
@@ -240,14 +240,14 @@
 	run := func(number uint64) {
 		now := time.Now()
 		d.Send(scheduler.Start{Number: number, Target: "t", Address: p.listener.Addr().String(), StartBy: now.Add(time.Second), AnswerBy: now.Add(time.Second)},
-			Limits{Connections: 4, Trust: idleTimeout})
+			Limits{MaxConnections: 4, IdleTimeout: idleTimeout})
 		require.Equal(t, scheduler.Done, (<-s).(scheduler.RunEnded).Result)
 	}
 	run(1)
 	<-time.After(idleTimeout + idleTimeout/2)
 	run(2)
 	assert.Equal(t, 2, count(), "a connection past its idle timeout was reused")
-	d.Retire("t")
+	d.CloseIdle("t")
 	run(3)
 	assert.Equal(t, 3, count(), "a closed connection was reused")
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -32,14 +32,14 @@
 	Client *storer.Client
 	Zone   string
 	Sink   Sink
-	// Every is the poll interval of a host without peers in its zone. Slowest is the
-	// maximum poll interval.
-	Every   time.Duration
-	Slowest time.Duration
+	// PollInterval is the poll interval of a host without peers in its zone.
+	// MaxPollInterval is the maximum poll interval.
+	PollInterval    time.Duration
+	MaxPollInterval time.Duration
 	// Random is the source of the jitter of the poll intervals.
 	Random *rand.Rand
-	// Observe is called after every poll. It may be nil.
-	Observe func(failed bool)
+	// OnPoll is called after every poll. It may be nil.
+	OnPoll func(failed bool)
 
 	hosts        atomic.Int64
 	config       atomic.Uint64
@@ -48,23 +48,23 @@
 	pollNow      chan struct{}
 }
 
-// Init prepares the Follower. It is called before Run and Nudge.
+// Init prepares the Follower. It is called before Run and PollNow.
 func (f *Follower) Init() { f.pollNow = make(chan struct{}, 1) }
 
 // Run polls until the context is done.
 func (f *Follower) Run(ctx context.Context) { f.pollUntilDone(ctx) }
 
-// Nudge triggers a poll now. It does not block.
-func (f *Follower) Nudge() {
+// PollNow triggers a poll now. It does not block.
+func (f *Follower) PollNow() {
 	select {
 	case f.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Know sets the versions of the configuration and the directory that the daemon holds,
-// and the number of hosts that are present in the zone, including this one.
-func (f *Follower) Know(config, directory uint64, hosts int) {
+// SetKnownVersions sets the versions of the configuration and the directory that the daemon
+// holds, and the number of hosts that are present in the zone, including this one.
+func (f *Follower) SetKnownVersions(config, directory uint64, hosts int) {
 	f.config.Store(config)
 	f.directory.Store(directory)
 	f.hosts.Store(int64(hosts))
@@ -82,8 +82,8 @@
 func (f *Follower) pollUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		failed := f.poll(ctx)
-		if f.Observe != nil {
-			f.Observe(failed)
+		if f.OnPoll != nil {
+			f.OnPoll(failed)
 		}
 		timer := f.Clock.NewTimer(f.nextDelay(failed))
 		select {
@@ -99,9 +99,9 @@
 // After a failure it ignores the number of peers, since the peers may have lost their
 // connection to the platform too (#4).
 func (f *Follower) nextDelay(failed bool) time.Duration {
-	period := min(f.Every*time.Duration(max(f.hosts.Load(), 1)), f.Slowest)
+	period := min(f.PollInterval*time.Duration(max(f.hosts.Load(), 1)), f.MaxPollInterval)
 	if failed {
-		period = min(f.Every, f.Slowest)
+		period = min(f.PollInterval, f.MaxPollInterval)
 	}
 	return period - period/8 + time.Duration(f.Random.Int64N(int64(period)/4+1))
 }
@@ -117,7 +117,7 @@
 }
 
 func (f *Follower) pollConfig(ctx context.Context) bool {
-	record, err := f.Client.Read(ctx, storer.Row, f.config.Load())
+	record, err := f.Client.Read(ctx, storer.ConfigKey, f.config.Load())
 	if err != nil {
 		return f.handleError(err, "row")
 	}
@@ -134,7 +134,7 @@
 }
 
 func (f *Follower) pollDirectory(ctx context.Context) bool {
-	directory, err := f.Client.Hosts(ctx, f.Zone, f.directory.Load())
+	directory, err := f.Client.ReadDirectory(ctx, f.Zone, f.directory.Load())
 	if isUnchanged(err) {
 		f.Sink.Put(scheduler.DirectoryUnchanged{Version: f.directory.Load()})
 		return false
--- a/internal/operator/change.go
+++ b/internal/operator/change.go
@@ -83,7 +83,7 @@
 func (c *Changer) readRow(ctx context.Context) (storer.Record, error) {
 	delay := minRetryDelay
 	for {
-		record, err := c.Table.Read(ctx, storer.Row, 0)
+		record, err := c.Table.Read(ctx, storer.ConfigKey, 0)
 		if err == nil {
 			return record, nil
 		}
@@ -124,7 +124,7 @@
 		return 0, &Error{Kind: Invalid, Message: err.Error()}
 	}
 	change := declarer.Change{ID: newID(), Author: c.Author, Time: c.Clock.Now().UTC(), Note: note, Version: version + 1}
-	value, err := edited.With(change).Encode()
+	value, err := edited.WithChange(change).Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 func (c *Changer) writeRow(ctx context.Context, version uint64, value []byte, id string) (uint64, error) {
 	delay := minRetryDelay
 	for {
-		written, err := c.Table.Swap(ctx, storer.Row, version, value)
+		written, err := c.Table.Swap(ctx, storer.ConfigKey, version, value)
 		if err == nil {
 			return written, nil
 		}
@@ -144,7 +144,7 @@
 		switch {
 		case err != nil:
 			return 0, &Error{Kind: OutcomeUnknown, Message: fmt.Sprintf("the platform gave no answer (%v) and change %s may be in force; look at the history for it before trying again", err, id)}
-		case row.Holds(id):
+		case row.HasChange(id):
 			return version + 1, nil
 		case currentVersion > version:
 			return 0, conflictError(row, currentVersion)
@@ -192,9 +192,9 @@
 var errNoDeclarations = errors.New("no declarations are in force; apply them first")
 
 // SwitchPreset returns the edit that activates a preset.
-func SwitchPreset(name declarer.Name) func(declarer.Row) (declarer.Row, error) {
+func SwitchPreset(name declarer.PresetName) func(declarer.Row) (declarer.Row, error) {
 	return func(row declarer.Row) (declarer.Row, error) {
-		if !slices.Contains(declarer.Names(), name) {
+		if !slices.Contains(declarer.PresetNames(), name) {
 			return row, fmt.Errorf("there is no preset %q; switch to ordinary, peak or maintenance", name)
 		}
 		if row.Text == "" {
--- a/internal/operator/race_test.go
+++ b/internal/operator/race_test.go
@@ -35,7 +35,7 @@
 	defer group.Done()
 	const changes = 12
 	for i := range changes {
-		edit := SwitchPreset(declarer.Names()[i%len(declarer.Names())])
+		edit := SwitchPreset(declarer.PresetNames()[i%len(declarer.PresetNames())])
 		if i%3 == 2 {
 			edit = ApplyDeclarations("f", fmt.Sprintf("%s; %s %d\n", r.text, r.changer.Author, i))
 		}
@@ -95,7 +95,7 @@
 	}
 	require.NoError(t, s.Start(t.Context()))
 	defer s.Close()
-	before, _ := s.Platform.Row(storer.Row)
+	before, _ := s.Platform.Row(storer.ConfigKey)
 	w := &versionWatcher{stage: s, stop: make(chan struct{})}
 	var watching, racing sync.WaitGroup
 	watching.Add(1)
@@ -115,7 +115,7 @@
 	}
 	s.Platform.Set(faker.Faults{})
 	racing.Wait()
-	after, value := s.Platform.Row(storer.Row)
+	after, value := s.Platform.Row(storer.ConfigKey)
 	accepted, unsettled := 0, 0
 	for _, r := range operators {
 		require.NoError(t, r.unexpected)
@@ -232,7 +232,7 @@
 	x.swap = func(x *fakeTable, expected uint64, value []byte) (uint64, error) {
 		if len(x.records) == 1 {
 			row := declarer.Row{Text: "[service s]\n", Preset: declarer.Maintenance}
-			won, err := row.With(declarer.Change{ID: "x", Author: "luis", Note: "hurry"}).Encode()
+			won, err := row.WithChange(declarer.Change{ID: "x", Author: "luis", Note: "hurry"}).Encode()
 			require.NoError(t, err)
 			x.records = append(x.records, storer.Record{Version: 2, Value: won})
 		}
--- a/internal/reporter/message.go
+++ b/internal/reporter/message.go
@@ -37,12 +37,12 @@
 // Delta holds the changes of a report since the previous one on the connection. Each
 // name is sent once on a connection, and the entries refer to it by its index.
 type Delta struct {
-	Config    uint64   `cbor:"1,keyasint"`
-	Directory uint64   `cbor:"2,keyasint"`
-	Leaving   bool     `cbor:"3,keyasint,omitempty"`
-	Names     []string `cbor:"4,keyasint,omitempty"`
-	Demands   []Demand `cbor:"5,keyasint,omitempty"`
-	Uses      []Use    `cbor:"6,keyasint,omitempty"`
+	Config    uint64      `cbor:"1,keyasint"`
+	Directory uint64      `cbor:"2,keyasint"`
+	Leaving   bool        `cbor:"3,keyasint,omitempty"`
+	Names     []string    `cbor:"4,keyasint,omitempty"`
+	Demands   []Demand    `cbor:"5,keyasint,omitempty"`
+	Uses      []TargetUse `cbor:"6,keyasint,omitempty"`
 }
 
 // Demand is a scheduler.Demand with indexes of names.
@@ -54,8 +54,8 @@
 	Waiting int
 }
 
-// Use is a scheduler.TargetUse with the index of the target's name.
-type Use struct {
+// TargetUse is a scheduler.TargetUse with the index of the target's name.
+type TargetUse struct {
 	_      struct{} `cbor:",toarray"`
 	Target int
 	Tasks  int
@@ -162,16 +162,16 @@
 	return slices.Clip(merged)
 }
 
-// Pass returns the value of the Authorization header with which a host proves to its
+// PeerToken returns the value of the Authorization header with which a host proves to its
 // peers that it has the key. It is an HMAC, so the key itself is never sent.
-func Pass(secret []byte) string {
+func PeerToken(secret []byte) string {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte("shallotrouter peer"))
 	return "Bearer " + hex.EncodeToString(h.Sum(nil))
 }
 
-// Allowed reports whether a received Authorization header proves that the sender has the
+// IsPeerToken reports whether a received Authorization header proves that the sender has the
 // key. It compares in constant time.
-func Allowed(secret []byte, shown string) bool {
-	return subtle.ConstantTimeCompare([]byte(Pass(secret)), []byte(shown)) == 1
+func IsPeerToken(secret []byte, shown string) bool {
+	return subtle.ConstantTimeCompare([]byte(PeerToken(secret)), []byte(shown)) == 1
 }
--- a/internal/reporter/pack.go
+++ b/internal/reporter/pack.go
@@ -5,28 +5,28 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Packer encodes the reports of one connection as deltas. The zero value is ready. It is
+// DeltaEncoder encodes the reports of one connection as deltas. The zero value is ready. It is
 // not safe for concurrent use.
-type Packer struct {
+type DeltaEncoder struct {
 	previous    scheduler.Report
 	nameIndexes map[string]int
 }
 
-// Pack returns the delta from the previously packed report to the given one.
-func (p *Packer) Pack(report scheduler.Report) Delta {
+// Encode returns the delta from the previously encoded report to the given one.
+func (p *DeltaEncoder) Encode(report scheduler.Report) Delta {
 	d := Delta{Config: report.Config, Directory: report.Directory, Leaving: report.Leaving}
 	for _, x := range diffEntries(p.previous.Demands, report.Demands, demandKey, emptyDemand) {
 		d.Demands = append(d.Demands, Demand{Service: p.nameIndex(&d, x.Service), Client: p.nameIndex(&d, x.Client), Running: x.Running, Waiting: x.Waiting})
 	}
 	for _, x := range diffEntries(p.previous.Uses, report.Uses, useKey, emptyUse) {
-		d.Uses = append(d.Uses, Use{Target: p.nameIndex(&d, x.Target), Tasks: x.Tasks, State: x.State, Doubt: x.Suspicion})
+		d.Uses = append(d.Uses, TargetUse{Target: p.nameIndex(&d, x.Target), Tasks: x.Tasks, State: x.State, Doubt: x.Suspicion})
 	}
 	p.previous = report
 	return d
 }
 
 // nameIndex returns the index of a name. It adds a new name to the delta.
-func (p *Packer) nameIndex(d *Delta, name string) int {
+func (p *DeltaEncoder) nameIndex(d *Delta, name string) int {
 	index, known := p.nameIndexes[name]
 	if known {
 		return index
@@ -43,18 +43,18 @@
 // maxNamesPerConnection limits the names that a peer may send on one connection.
 const maxNamesPerConnection = 100_000
 
-// Unpacker rebuilds the reports of one connection from deltas. Report is set before the
+// DeltaDecoder rebuilds the reports of one connection from deltas. Report is set before the
 // first delta. It is not safe for concurrent use.
-type Unpacker struct {
+type DeltaDecoder struct {
 	// Report is the report after the last delta.
 	Report scheduler.Report
 
 	names []string
 }
 
-// Unpack applies a delta to Report. It returns an Error with reason Malformed if the
+// Decode applies a delta to Report. It returns an Error with reason Malformed if the
 // delta refers to an unknown name or if the peer has sent too many names.
-func (u *Unpacker) Unpack(d Delta) error {
+func (u *DeltaDecoder) Decode(d Delta) error {
 	u.names = append(u.names, d.Names...)
 	if len(u.names) > maxNamesPerConnection {
 		return shallotrouter.Errorf(shallotrouter.Malformed, "peer sent more than %d names on one connection; restart the peer", maxNamesPerConnection)
@@ -83,4 +83,4 @@
 // errUnknownName means that a delta refers to a name that was not sent.
 var errUnknownName = shallotrouter.Errorf(shallotrouter.Malformed, "peer refers to a name that it has not sent; run the same version on all hosts")
 
-func (u *Unpacker) isKnown(index int) bool { return index >= 0 && index < len(u.names) }
+func (u *DeltaDecoder) isKnown(index int) bool { return index >= 0 && index < len(u.names) }
--- a/internal/reporter/receiver.go
+++ b/internal/reporter/receiver.go
@@ -14,7 +14,7 @@
 // ServeHTTP accepts a connection from a peer and passes the received messages to the
 // sink until the connection ends. It answers a host without the key with status 401.
 func (r *Reporter) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	if !Allowed(r.Secret, request.Header.Get("Authorization")) {
+	if !IsPeerToken(r.Secret, request.Header.Get("Authorization")) {
 		http.Error(w, "the peer key is wrong; set the same key on all hosts", http.StatusUnauthorized)
 		return
 	}
@@ -37,7 +37,7 @@
 type receiver struct {
 	reporter *Reporter
 	socket   *websocket.Conn
-	unpacker Unpacker
+	unpacker DeltaDecoder
 }
 
 // receive handles messages until the connection ends or a message is invalid.
@@ -68,7 +68,7 @@
 	case m.Hello != nil || v.unpacker.Report.Host == "":
 		return shallotrouter.Errorf(shallotrouter.Malformed, "peer did not send exactly one hello as its first message; run the same version on all hosts")
 	case m.Delta != nil:
-		if err := v.unpacker.Unpack(*m.Delta); err != nil {
+		if err := v.unpacker.Decode(*m.Delta); err != nil {
 			return err
 		}
 		report := v.unpacker.Report
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -58,8 +58,8 @@
 	// Seed seeds the jitter of the redial delays. Each link has its own random source,
 	// which also depends on its address.
 	Seed uint64
-	// Observe is called with the size in bytes of every sent message. It may be nil.
-	Observe func(bytes int)
+	// OnSend is called with the size in bytes of every sent message. It may be nil.
+	OnSend func(bytes int)
 
 	mutex         sync.Mutex
 	runContext    context.Context
@@ -68,7 +68,7 @@
 	config        *declarer.Config
 	directory     scheduler.Directory
 	versions      map[string]*peerVersions
-	peerAddresses []string       // addresses from the last Dial
+	peerAddresses []string       // addresses from the last SetPeers
 	inboundCounts map[string]int // open connections from each peer, by address
 	budget        budget
 }
@@ -76,7 +76,7 @@
 // peerVersions are the versions of the documents that a peer holds.
 type peerVersions struct{ config, directory uint64 }
 
-// Run prepares the Reporter for Dial and for connections from peers, and returns. The
+// Run prepares the Reporter for SetPeers and for connections from peers, and returns. The
 // links end when the context is done.
 func (r *Reporter) Run(ctx context.Context) {
 	r.mutex.Lock()
@@ -87,9 +87,9 @@
 	r.mutex.Unlock()
 }
 
-// Dial sets the addresses of the peers and opens the missing links. It closes links to
+// SetPeers sets the addresses of the peers and opens the missing links. It closes links to
 // other addresses unless that host has a connection to this one.
-func (r *Reporter) Dial(addresses []string) {
+func (r *Reporter) SetPeers(addresses []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.peerAddresses = addresses
@@ -115,8 +115,8 @@
 	go l.run(ctx)
 }
 
-// closeUnneededLink closes the link to an address that Dial has not set and that has no
-// connection to this host. The mutex is held.
+// closeUnneededLink closes the link to an address that SetPeers has not set and that has
+// no connection to this host. The mutex is held.
 func (r *Reporter) closeUnneededLink(address string) {
 	if l := r.links[address]; l != nil && r.inboundCounts[address] == 0 && !slices.Contains(r.peerAddresses, address) {
 		l.cancel()
@@ -155,9 +155,9 @@
 	}
 }
 
-// Hold sets the configuration and the directory that links send to peers with older
+// SetDocuments sets the configuration and the directory that links send to peers with older
 // versions.
-func (r *Reporter) Hold(config *declarer.Config, directory scheduler.Directory) {
+func (r *Reporter) SetDocuments(config *declarer.Config, directory scheduler.Directory) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.config, r.directory = config, directory
@@ -197,7 +197,7 @@
 
 	socket         *websocket.Conn
 	sameZone       bool
-	packer         Packer
+	packer         DeltaEncoder
 	lastReportAt   time.Time
 	reportedConfig uint64 // configuration version in the last report
 	sentVersions   peerVersions
@@ -250,14 +250,14 @@
 	if r.TLS != nil {
 		scheme = "wss://"
 	}
-	header := http.Header{"Authorization": {Pass(r.Secret)}}
+	header := http.Header{"Authorization": {PeerToken(r.Secret)}}
 	socket, response, err := websocket.Dial(dialing, scheme+l.address+Path, &websocket.DialOptions{HTTPClient: client, HTTPHeader: header})
 	if err != nil {
 		return err
 	}
 	l.socket = socket
 	l.sameZone = response.Header.Get(headerZone) == r.Self.Zone
-	l.packer, l.lastReportAt, l.reportedConfig, l.sentVersions = Packer{}, time.Time{}, 0, peerVersions{}
+	l.packer, l.lastReportAt, l.reportedConfig, l.sentVersions = DeltaEncoder{}, time.Time{}, 0, peerVersions{}
 	self := r.Self
 	return l.write(ctx, Message{Hello: &self})
 }
@@ -326,7 +326,7 @@
 	if !l.sameZone {
 		report.Demands, report.Uses = nil, nil
 	}
-	delta := l.packer.Pack(report)
+	delta := l.packer.Encode(report)
 	l.lastReportAt, l.reportedConfig = now, report.Config
 	return l.write(ctx, Message{Delta: &delta})
 }
@@ -338,8 +338,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if l.reporter.Observe != nil {
-		l.reporter.Observe(len(data))
+	if l.reporter.OnSend != nil {
+		l.reporter.OnSend(len(data))
 	}
 	l.reporter.budget.recordSent(l.reporter.Clock.Now(), len(data))
 	return l.socket.Write(ctx, websocket.MessageBinary, data)
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -57,7 +57,7 @@
 	b, events := newHost(t, "b")
 	report := scheduler.Report{Host: "a", Zone: "z", Config: 1, Demands: []scheduler.Demand{{Service: "s", Client: "c", Running: 2}}}
 	a.Publish(report)
-	a.Dial([]string{b.Self.Address})
+	a.SetPeers([]string{b.Self.Address})
 	received := nextEvent(t, events).(scheduler.ReportReceived).Report
 	assert.Equal(t, report.Demands, received.Demands)
 	assert.Equal(t, uint64(1), received.Incarnation)
@@ -78,10 +78,10 @@
 	require.NoError(t, err)
 	config, err := declarer.Decode(7, raw)
 	require.NoError(t, err)
-	a.Hold(config, scheduler.Directory{Version: 3, Zone: "z"})
+	a.SetDocuments(config, scheduler.Directory{Version: 3, Zone: "z"})
 	a.Publish(scheduler.Report{Host: "a", Zone: "z", Config: 7, Directory: 3})
 	b.Publish(scheduler.Report{Host: "b", Zone: "z"})
-	b.Dial([]string{a.Self.Address})
+	b.SetPeers([]string{a.Self.Address})
 	seen := make(map[string]bool)
 	for !seen["config"] || !seen["directory"] {
 		switch e := nextEvent(t, events).(type) {
@@ -97,7 +97,7 @@
 	a, _ := newHost(t, "a")
 	r, err := http.NewRequest(http.MethodGet, "http://"+a.Self.Address+Path, nil)
 	require.NoError(t, err)
-	r.Header.Set("Authorization", Pass([]byte("another key")))
+	r.Header.Set("Authorization", PeerToken([]byte("another key")))
 	response, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
@@ -124,10 +124,10 @@
 func TestDeltaGivesNextReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, current := drawReport(t, "old"), drawReport(t, "new")
-		var p Packer
-		var u Unpacker
+		var p DeltaEncoder
+		var u DeltaDecoder
 		for _, r := range []scheduler.Report{old, current} {
-			require.NoError(t, u.Unpack(p.Pack(r)))
+			require.NoError(t, u.Decode(p.Encode(r)))
 		}
 		assert.ElementsMatch(t, current.Demands, u.Report.Demands)
 		assert.ElementsMatch(t, current.Uses, u.Report.Uses)
@@ -178,11 +178,11 @@
 		b.Run(fmt.Sprintf("clients=%d/targets=%d", size.clients, size.targets), func(b *testing.B) {
 			old, current := sizedReport(size.clients, size.targets, 0), sizedReport(size.clients, size.targets, 1)
 			b.ReportAllocs()
-			var p Packer
+			var p DeltaEncoder
 			b.ReportMetric(sizeOf(b, &p, current), "B/whole")
 			half := 0.0
 			for b.Loop() {
-				p.Pack(old)
+				p.Encode(old)
 				half = sizeOf(b, &p, current)
 			}
 			b.ReportMetric(half, "B/half")
@@ -191,8 +191,8 @@
 }
 
 // sizeOf returns the size in bytes of the next report on a connection.
-func sizeOf(b *testing.B, p *Packer, r scheduler.Report) float64 {
-	d := p.Pack(r)
+func sizeOf(b *testing.B, p *DeltaEncoder, r scheduler.Report) float64 {
+	d := p.Encode(r)
 	data, err := Message{Delta: &d}.Encode()
 	require.NoError(b, err)
 	return float64(len(data))
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -37,8 +37,8 @@
 	Dispatcher *dispatcher.Dispatcher
 	Reporter   *reporter.Reporter
 	Follower   *follower.Follower
-	// Seeds are the addresses of peers that are known from the start.
-	Seeds []string
+	// SeedPeers are the addresses of peers that are known from the start.
+	SeedPeers []string
 
 	events      chan scheduler.Event
 	done        chan struct{}
@@ -140,17 +140,17 @@
 		version = v.Config.Version
 	}
 	r.Meter.ConfigVersion.Set(float64(version))
-	r.Follower.Know(version, v.Directory.Version, v.Hosts)
-	r.Reporter.Hold(v.Config, v.Directory)
+	r.Follower.SetKnownVersions(version, v.Directory.Version, v.Hosts)
+	r.Reporter.SetDocuments(v.Config, v.Directory)
 	if _, located := e.(scheduler.Locate); located {
-		r.Reporter.Dial(r.peerAddresses(v.Directory))
-		r.Dispatcher.Keep(listedIn(v.Directory))
+		r.Reporter.SetPeers(r.peerAddresses(v.Directory))
+		r.Dispatcher.RetainTargets(listedIn(v.Directory))
 	}
 }
 
 // peerAddresses returns the addresses of the seeds and of the directory's entry hosts.
 func (r *Runner) peerAddresses(d scheduler.Directory) []string {
-	addresses := append([]string(nil), r.Seeds...)
+	addresses := append([]string(nil), r.SeedPeers...)
 	for _, h := range d.Hosts {
 		if h.Role == scheduler.Entry {
 			addresses = append(addresses, h.Address)
@@ -187,9 +187,9 @@
 		r.updateGauges(e)
 		r.Reporter.Publish(e.Report)
 	case scheduler.Refresh:
-		r.Follower.Nudge()
+		r.Follower.PollNow()
 	case scheduler.CloseIdle:
-		r.Dispatcher.Retire(e.Target)
+		r.Dispatcher.CloseIdle(e.Target)
 	case scheduler.Decision:
 		r.Throttle.Info(now, "decision", logValues(e)...)
 	case scheduler.Violation:
@@ -236,7 +236,7 @@
 // connectionLimits returns the connection limits of a service.
 func (r *Runner) connectionLimits(name string) dispatcher.Limits {
 	service, _ := r.View().Config.Service(name)
-	return dispatcher.Limits{Connections: service.Connections, Trust: service.Trust}
+	return dispatcher.Limits{MaxConnections: service.MaxConnections, IdleTimeout: service.IdleTimeout}
 }
 
 // deliverAnswer passes an effect to the request that waits for it, if there still is one.
@@ -319,8 +319,8 @@
 	return e.(scheduler.Reply), nil
 }
 
-// Inspect returns the state of a job.
-func (r *Runner) Inspect(ctx context.Context, client string, number uint64) (shallotrouter.State, error) {
+// InspectJob returns the state of a job.
+func (r *Runner) InspectJob(ctx context.Context, client string, number uint64) (shallotrouter.State, error) {
 	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.InspectJob{Request: request, Client: client, Number: number}
 	})
@@ -330,8 +330,8 @@
 	return e.(scheduler.JobInspected).State, nil
 }
 
-// Issue issues a block of tickets.
-func (r *Runner) Issue(ctx context.Context, client string, count int) (scheduler.Issued, error) {
+// IssueTickets issues a block of tickets.
+func (r *Runner) IssueTickets(ctx context.Context, client string, count int) (scheduler.Issued, error) {
 	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.Issue{Request: request, Client: client, Count: count}
 	})
@@ -345,8 +345,8 @@
 	return issued, nil
 }
 
-// Survey returns the status of this host.
-func (r *Runner) Survey(ctx context.Context) (scheduler.Status, error) {
+// InspectHost returns the status of this host.
+func (r *Runner) InspectHost(ctx context.Context) (scheduler.Status, error) {
 	e, err := r.requestAnswer(ctx, func(request uint64) scheduler.Event { return scheduler.InspectHost{Request: request} })
 	if err != nil {
 		return scheduler.Status{}, err
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -148,15 +148,15 @@
 	if p == nil || (len(c.Services) > 0 && !c.Services.Has(e.Job.Service)) {
 		return shallotrouter.Errorf(shallotrouter.Unknown, "service %q is not open to client %s; name a declared service", e.Job.Service, e.Client)
 	}
-	preset := s.config.Current()
-	if !preset.Admit {
-		return withRetryAfter(preset.Return, shallotrouter.Errorf(shallotrouter.Maintenance, "preset %s takes no new work; come back after the time given", preset.Name))
+	preset := s.config.ActivePreset()
+	if !preset.AdmitJobs {
+		return withRetryAfter(preset.RetryDelay, shallotrouter.Errorf(shallotrouter.Maintenance, "preset %s takes no new work; come back after the time given", preset.Name))
 	}
 	if s.usableSlots(p) == 0 {
 		return withRetryAfter(defaultRetryAfter, shallotrouter.Errorf(shallotrouter.Unready, "service %s has no usable target in this zone; come back after the time given", e.Job.Service))
 	}
 	f := p.flows[e.Client]
-	if f != nil && f.waiting > 0 && f.waiting+len(e.Job.Tasks) > preset.Queue || s.waitingTasks+len(e.Job.Tasks) > s.Bounds.MaxWaitingTasks {
+	if f != nil && f.waiting > 0 && f.waiting+len(e.Job.Tasks) > preset.MaxWaitingTasks || s.waitingTasks+len(e.Job.Tasks) > s.Bounds.MaxWaitingTasks {
 		return withRetryAfter(s.clientBackoff(f), shallotrouter.Errorf(shallotrouter.Overload, "the queue is full; come back after the time given"))
 	}
 	return nil
--- a/internal/scheduler/flow.go
+++ b/internal/scheduler/flow.go
@@ -114,7 +114,7 @@
 // that are admitted more than this time later do not overtake the job.
 func (p *pool) queueKey(j *job) float64 {
 	key := float64(j.admittedAt.UnixNano()) / float64(time.Second)
-	if p.service.Order == declarer.Least {
+	if p.service.Order == declarer.LeastWork {
 		key += j.queuedWork.Seconds() * ageingFactor
 	}
 	return key
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -82,13 +82,13 @@
 // exceedsLongShare reports whether the flow's next task is long and the flow's
 // running long tasks already use the part of the slots that the preset allows.
 func (s *Scheduler) exceedsLongShare(f *flow, limit int) bool {
-	preset := s.config.Current()
+	preset := s.config.ActivePreset()
 	j := f.jobs.Peek()
 	next := j.tasks[j.queue[len(j.queue)-1]]
-	if next.expected < preset.Long {
+	if next.expected < preset.LongTaskThreshold {
 		return false
 	}
-	return f.longRunning >= max(1, int(preset.Hold*float64(limit)))
+	return f.longRunning >= max(1, int(preset.MaxLongTaskFraction*float64(limit)))
 }
 
 // Placer chooses a target for the next task of a pool.
@@ -151,7 +151,7 @@
 	k.state = next
 	k.attempts++
 	k.target, k.sentAt = t, s.now
-	k.isLong = k.expected >= s.config.Current().Long
+	k.isLong = k.expected >= s.config.ActivePreset().LongTaskThreshold
 	s.addInFlight(j, k, 1)
 	s.dequeue(f, j, k, last)
 	j.state, _ = jobMachine.Next(j.state, jobBegin)
@@ -164,7 +164,7 @@
 		Number: j.number, Task: index, Client: j.client, Service: j.service,
 		Target: t.name, Address: t.address, Kind: j.specs[index].Kind, Payload: j.specs[index].Payload,
 		StartBy:  minTime(j.deadline, s.now.Add(s.Bounds.StartTimeout)),
-		AnswerBy: s.now.Add(p.service.Longest),
+		AnswerBy: s.now.Add(p.service.MaxRunTime),
 	})
 	s.emit(Decision{Action: Place, Number: j.number, Task: index, Client: j.client, Target: t.name})
 	return true
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-func config(t *testing.T, version uint64, preset declarer.Name) *declarer.Config {
+func config(t *testing.T, version uint64, preset declarer.PresetName) *declarer.Config {
 	raw, err := declarer.Row{Text: configText, Preset: preset}.Encode()
 	require.NoError(t, err)
 	c, err := declarer.Decode(version, raw)
@@ -269,7 +269,7 @@
 	b.step(Adopt{Config: config(t, 5, declarer.Maintenance)})
 	v := b.View().Config
 	assert.Equal(t, uint64(5), v.Version)
-	assert.Equal(t, declarer.Peak, v.Current().Name)
+	assert.Equal(t, declarer.Peak, v.ActivePreset().Name)
 }
 
 // TestNothingStartsAfterPauseBeforeStateIsRead requires that nothing starts between
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -42,7 +42,7 @@
 // host without waiting tasks gets a reserve, so that a small job finds a free
 // slot there while the other hosts have a backlog.
 func (s *Scheduler) slotHolders(p *pool, slots int) []divider.Holder {
-	reserve := int(math.Ceil(s.config.Current().Reserve * float64(slots)))
+	reserve := int(math.Ceil(s.config.ActivePreset().ReservedFraction * float64(slots)))
 	holders := []divider.Holder{{Host: s.Host, Reserve: s.collectDemand(p, s.lastReport, reserve)}}
 	for _, r := range s.peers {
 		if r.isPresent() {
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -159,7 +159,7 @@
 // updateLeaving moves a target into or out of Departing. A target is leaving by
 // the directory, its own answer, a peer's report or the configuration.
 func (s *Scheduler) updateLeaving(t *target) {
-	leaving := t.listedLeaving || s.now.Before(t.peerLeavingUntil) || s.now.Before(t.leavingUntil) || s.config.Targets.Has(t.name)
+	leaving := t.listedLeaving || s.now.Before(t.peerLeavingUntil) || s.now.Before(t.leavingUntil) || s.config.DrainedTargets.Has(t.name)
 	if leaving && t.state() != Departing {
 		s.changeTargetState(t, targetLeave, "told to leave")
 		s.emit(CloseIdle{Target: t.name})
--- a/internal/server/forward.go
+++ b/internal/server/forward.go
@@ -35,10 +35,10 @@
 	Scheme string
 	// Secret is the key that all entry hosts share.
 	Secret []byte
-	// Ask is the timeout of requests that do not wait for a job. It is also the
-	// interval of the health probes of the home while a request waits there, and
+	// RequestTimeout is the timeout of requests that do not wait for a job. It is also
+	// the interval of the health probes of the home while a request waits there, and
 	// the timeout of each probe.
-	Ask time.Duration
+	RequestTimeout time.Duration
 	// Seal returns the text of a ticket.
 	Seal func(ticketer.Ticket) (string, error)
 }
@@ -48,7 +48,7 @@
 // answer has outcome Lost, since an earlier submission of the same ticket may have
 // run there.
 func (f *Forwarder) Forward(ctx context.Context, t ticketer.Ticket, client, method string, job *shallotrouter.Job) shallotrouter.Answer {
-	timeout := f.Ask
+	timeout := f.RequestTimeout
 	if job != nil {
 		timeout += time.Duration(job.Deadline) + answerGrace
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return a, err
 	}
-	request.Header.Set("Authorization", reporter.Pass(f.Secret))
+	request.Header.Set("Authorization", reporter.PeerToken(f.Secret))
 	request.Header.Set(headerForwarded, client)
 	response, err := f.HTTP.Do(request)
 	if err != nil {
@@ -139,7 +139,7 @@
 // run probes the home until the context is done, and aborts the forwarded request
 // after maxFailedProbes failures in a row.
 func (p *livenessProbe) run(ctx context.Context) {
-	ticker := p.forwarder.Clock.NewTicker(p.forwarder.Ask)
+	ticker := p.forwarder.Clock.NewTicker(p.forwarder.RequestTimeout)
 	defer ticker.Stop()
 	for failures := 0; failures < maxFailedProbes; {
 		select {
@@ -158,7 +158,7 @@
 
 // isAlive requests the health of the home on a separate connection.
 func (p *livenessProbe) isAlive(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, p.forwarder.Ask)
+	ctx, cancel := context.WithTimeout(ctx, p.forwarder.RequestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.forwarder.Scheme+"://"+p.home+"/healthz", nil)
 	if err != nil {
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -21,8 +21,8 @@
 	minDeadline = time.Millisecond
 )
 
-// Count is the body of a request for tickets.
-type Count struct {
+// TicketRequest is the body of a request for tickets.
+type TicketRequest struct {
 	Count int `json:"count"`
 }
 
@@ -33,14 +33,14 @@
 		s.writeRefusal(w, refused)
 		return
 	}
-	body := Count{Count: 1}
+	body := TicketRequest{Count: 1}
 	if r.ContentLength != 0 {
 		if err := decodeBody(r, &body); err != nil {
 			s.writeRefusal(w, err)
 			return
 		}
 	}
-	issued, err := s.Runner.Issue(r.Context(), client, body.Count)
+	issued, err := s.Runner.IssueTickets(r.Context(), client, body.Count)
 	if err != nil {
 		s.writeRefusal(w, err)
 		return
@@ -208,7 +208,7 @@
 		writeJSON(w, httpStatus(a), 0, shallotrouter.State{Ticket: r.PathValue("ticket"), Answer: &a})
 		return
 	}
-	state, err := s.Runner.Inspect(r.Context(), client, ticket.Number)
+	state, err := s.Runner.InspectJob(r.Context(), client, ticket.Number)
 	if err != nil {
 		s.writeReply(w, client, ticket.Number, 0, shallotrouter.Answer{}, err)
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -31,20 +31,20 @@
 	Runner *runner.Runner
 	Meter  *meter.Meter
 	Sealer *ticketer.Sealer
-	// Peers handles the connections from peers.
-	Peers http.Handler
+	// PeerHandler handles the connections from peers.
+	PeerHandler http.Handler
 	// Address and Incarnation identify this process in the tickets that it issues.
 	Address     string
 	Incarnation uint64
 	// Secret is the key that all entry hosts share.
 	Secret []byte
-	// Operator is the SHA-256 of the operators' token in hexadecimal. If it is empty,
+	// OperatorHash is the SHA-256 of the operators' token in hexadecimal. If it is empty,
 	// all operator requests are refused.
-	Operator string
-	// Body is the maximum size of a request body in bytes. Requests is the maximum
+	OperatorHash string
+	// MaxBodyBytes is the maximum size of a request body. MaxOpenRequests is the maximum
 	// number of open client requests.
-	Body     int64
-	Requests int
+	MaxBodyBytes    int64
+	MaxOpenRequests int
 	// Forwarder forwards requests to the home of their ticket.
 	Forwarder *Forwarder
 	// Drain starts a graceful shutdown.
@@ -55,7 +55,7 @@
 
 // Handler returns the HTTP handler of the daemon.
 func (s *Server) Handler() http.Handler {
-	s.openRequests = make(chan struct{}, s.Requests)
+	s.openRequests = make(chan struct{}, s.MaxOpenRequests)
 	client := alice.New(s.recoverPanics, s.limitOpenRequests, s.limitBody)
 	operator := alice.New(s.recoverPanics, s.limitBody, s.requireOperator)
 	mux := http.NewServeMux()
@@ -65,7 +65,7 @@
 	mux.Handle("DELETE /v1/jobs/{ticket}", client.ThenFunc(s.handleCancel))
 	mux.Handle("GET /v1/status", operator.ThenFunc(s.handleStatus))
 	mux.Handle("POST /v1/drain", operator.ThenFunc(s.handleDrain))
-	mux.Handle("GET "+reporter.Path, s.Peers)
+	mux.Handle("GET "+reporter.Path, s.PeerHandler)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.Meter.Registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", s.handleHealthz)
 	mux.HandleFunc("GET /readyz", s.handleReadyz)
@@ -103,7 +103,7 @@
 // limitBody limits the size of the request's body.
 func (s *Server) limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, s.Body)
+		r.Body = http.MaxBytesReader(w, r.Body, s.MaxBodyBytes)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -112,7 +112,7 @@
 func (s *Server) requireOperator(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		hash := declarer.HashToken(bearerToken(r))
-		if s.Operator == "" || subtle.ConstantTimeCompare([]byte(hash), []byte(s.Operator)) != 1 {
+		if s.OperatorHash == "" || subtle.ConstantTimeCompare([]byte(hash), []byte(s.OperatorHash)) != 1 {
 			s.writeRefusal(w, shallotrouter.Errorf(shallotrouter.Unauthorized, "the operators' token is missing or wrong; send it as a bearer token"))
 			return
 		}
@@ -130,7 +130,7 @@
 // client; in a request that a peer forwards, the header names it.
 func (s *Server) authenticate(r *http.Request) (string, *shallotrouter.Error) {
 	if name := r.Header.Get(headerForwarded); name != "" {
-		if !reporter.Allowed(s.Secret, r.Header.Get("Authorization")) {
+		if !reporter.IsPeerToken(s.Secret, r.Header.Get("Authorization")) {
 			return "", shallotrouter.Errorf(shallotrouter.Unauthorized, "only entry hosts may forward; send your own token")
 		}
 		return name, nil
@@ -144,7 +144,7 @@
 	hash := []byte(declarer.HashToken(bearerToken(r)))
 	client := ""
 	for _, c := range config.Clients {
-		if subtle.ConstantTimeCompare(hash, []byte(c.Hash)) == 1 {
+		if subtle.ConstantTimeCompare(hash, []byte(c.TokenHash)) == 1 {
 			client = c.Name
 		}
 	}
@@ -254,7 +254,7 @@
 // handleReadyz tells the load balancer whether this host accepts new jobs.
 func (s *Server) handleReadyz(w http.ResponseWriter, _ *http.Request) {
 	v := s.Runner.View()
-	if v.Phase != scheduler.Serving || v.Config.Hosts.Has(s.Runner.Scheduler.Host) {
+	if v.Phase != scheduler.Serving || v.Config.DrainedHosts.Has(s.Runner.Scheduler.Host) {
 		http.Error(w, string(v.Phase), http.StatusServiceUnavailable)
 		return
 	}
@@ -262,7 +262,7 @@
 }
 
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
-	v, err := s.Runner.Survey(r.Context())
+	v, err := s.Runner.InspectHost(r.Context())
 	if err != nil {
 		s.writeRefusal(w, err)
 		return
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -24,7 +24,7 @@
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
 	sealer := &ticketer.Sealer{Key: []byte("a key of the test")}
-	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: server.Client(), Scheme: "http", Secret: sealer.Key, Ask: time.Second, Seal: sealer.Seal}
+	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: server.Client(), Scheme: "http", Secret: sealer.Key, RequestTimeout: time.Second, Seal: sealer.Seal}
 	return f, ticketer.Ticket{Home: strings.TrimPrefix(server.URL, "http://"), Number: 1, Client: "c"}
 }
 
@@ -122,7 +122,7 @@
 // home is answered after the failed probes, and not only after the job's deadline.
 func TestUnresponsiveHomeIsAbandoned(t *testing.T) {
 	sealer := &ticketer.Sealer{Key: []byte("a key of the test")}
-	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: &http.Client{}, Scheme: "http", Secret: sealer.Key, Ask: 100 * time.Millisecond, Seal: sealer.Seal}
+	f := &Forwarder{Clock: clockwork.NewRealClock(), HTTP: &http.Client{}, Scheme: "http", Secret: sealer.Key, RequestTimeout: 100 * time.Millisecond, Seal: sealer.Seal}
 	start := time.Now()
 	a := f.Forward(t.Context(), ticketer.Ticket{Home: unresponsiveHome(t), Number: 1}, "c", http.MethodPost,
 		&shallotrouter.Job{Deadline: shallotrouter.Duration(time.Minute)})
@@ -140,7 +140,7 @@
 		<-time.After(700 * time.Millisecond)
 		_, _ = w.Write([]byte(`{"outcome":"complete"}`))
 	})
-	f.Ask = 100 * time.Millisecond
+	f.RequestTimeout = 100 * time.Millisecond
 	a := f.Forward(t.Context(), ticket, "c", http.MethodPost, &shallotrouter.Job{Deadline: shallotrouter.Duration(time.Minute)})
 	assert.Equal(t, shallotrouter.Complete, a.Outcome)
 }
--- a/internal/stager/stage.go
+++ b/internal/stager/stage.go
@@ -206,9 +206,9 @@
 
 // ApplyPreset writes the declarations and the preset to the platform, as the current
 // configuration.
-func (s *Deployment) ApplyPreset(preset declarer.Name) error {
+func (s *Deployment) ApplyPreset(preset declarer.PresetName) error {
 	client := storer.NewClient(s.platformAddress, time.Second)
-	record, err := client.Read(s.context, storer.Row, 0)
+	record, err := client.Read(s.context, storer.ConfigKey, 0)
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = client.Swap(s.context, storer.Row, record.Version, value)
+	_, err = client.Swap(s.context, storer.ConfigKey, record.Version, value)
 	return err
 }
 
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -22,21 +22,21 @@
 	Value   []byte
 }
 
-// Kind is the kind of an Error.
-type Kind string
+// ErrorKind is the kind of an Error.
+type ErrorKind string
 
 const (
 	// Conflict means that the row does not have the expected version.
-	Conflict Kind = "conflict"
+	Conflict ErrorKind = "conflict"
 	// Unavailable means that there was no valid answer. A write may have taken effect.
-	Unavailable Kind = "unavailable"
+	Unavailable ErrorKind = "unavailable"
 	// Unchanged means that the version is still the known one.
-	Unchanged Kind = "unchanged"
+	Unchanged ErrorKind = "unchanged"
 )
 
 // Error is the error of a request that returned no row or list.
 type Error struct {
-	Kind    Kind
+	Kind    ErrorKind
 	Message string
 }
 
@@ -52,8 +52,8 @@
 	HTTP *http.Client
 }
 
-// Row is the key of the row that holds the declarations and the active preset.
-const Row = "shallotrouter"
+// ConfigKey is the key of the row that holds the declarations and the active preset.
+const ConfigKey = "shallotrouter"
 
 // maxValueBytes limits how much of an answer from the platform is read.
 const maxValueBytes = 8 << 20
@@ -84,9 +84,9 @@
 	return record.Version, err
 }
 
-// Hosts returns the platform's list of the hosts in the zone. It returns an Error of kind
-// Unchanged if the list still has the known version.
-func (c *Client) Hosts(ctx context.Context, zone string, known uint64) (scheduler.Directory, error) {
+// ReadDirectory returns the platform's list of the hosts in the zone. It returns an Error of
+// kind Unchanged if the list still has the known version.
+func (c *Client) ReadDirectory(ctx context.Context, zone string, known uint64) (scheduler.Directory, error) {
 	var d scheduler.Directory
 	header := http.Header{}
 	if known > 0 {
