--- a/cmd/shallotctl/main_test.go
+++ b/cmd/shallotctl/main_test.go
@@ -100,11 +100,11 @@
 // must be reported as failed.
 func TestChangeWithLostAnswerIsConfirmed(t *testing.T) {
 	s := newSession(t)
-	s.Platform.Set(faker.Faults{Lose: 1})
+	s.Platform.SetFaults(faker.PlatformFaults{LostAnswers: 1})
 	code, out, errors := runTool("preset", "-platform", s.PlatformAddress(), "peak")
 	assert.Equal(t, 0, code, errors)
 	assert.Contains(t, out, "version 2 is accepted")
-	s.Platform.Set(faker.Faults{Outage: true})
+	s.Platform.SetFaults(faker.PlatformFaults{Outage: true})
 	code, _, _ = runTool("preset", "-platform", s.PlatformAddress(), "-timeout", "300ms", "ordinary")
 	assert.Equal(t, exitFailed, code, "the change is reported as failed because nothing was written")
 }
--- a/cmd/shallotrouter/failure_test.go
+++ b/cmd/shallotrouter/failure_test.go
@@ -297,7 +297,7 @@
 func TestLeavingTargetsGetNoTasks(t *testing.T) {
 	d := deploy(t, "", 3, 2, "bogota-norte")
 	d.writeHostList("bogota-norte", d.targets[0].name)
-	d.putJSON(d.targets[1], "/trouble", faker.Trouble{Leaving: true})
+	d.putJSON(d.targets[1], "/trouble", faker.TargetFaults{Leaving: true})
 	<-time.After(3 * time.Second) // the limit until hosts must avoid a leaving target
 	_, wait := d.submitInBackground(d.daemons[0], "comites", 1, 1, time.Millisecond, 10*time.Second)
 	wait()
@@ -310,7 +310,7 @@
 		}
 	}
 	assert.Len(t, d.targetCounts(d.targets[0]).Starts, len(first.Starts))
-	assert.LessOrEqual(t, d.targetCounts(d.targets[1]).Left, second.Left+2)
+	assert.LessOrEqual(t, d.targetCounts(d.targets[1]).RefusedLeaving, second.RefusedLeaving+2)
 	d.requireNoRepeatedStarts()
 }
 
@@ -318,7 +318,7 @@
 // host must still begin to serve and complete jobs.
 func TestHostStartsDuringPlatformOutage(t *testing.T) {
 	d := deploy(t, "", 2, 2, "bogota-norte")
-	d.putJSON(d.platform, "/faults", faker.Faults{Outage: true})
+	d.putJSON(d.platform, "/faults", faker.PlatformFaults{Outage: true})
 	newHost := d.startDaemon("bogota-norte-new", "bogota-norte")
 	d.await(func() bool { return d.status(newHost).Phase == scheduler.Serving })
 	list, wait := d.submitInBackground(newHost, "comites", 5, 3, 10*time.Millisecond, 10*time.Second)
@@ -337,7 +337,7 @@
 	client := storer.NewClient(d.platform.address, 5*time.Second)
 	versions := make(map[string]uint64)
 	for i, preset := range []declarer.PresetName{declarer.Peak, declarer.Maintenance, declarer.Ordinary, declarer.Peak} {
-		d.putJSON(d.platform, "/faults", faker.Faults{Delay: 200 * time.Millisecond, Stale: 2 * i})
+		d.putJSON(d.platform, "/faults", faker.PlatformFaults{Delay: 200 * time.Millisecond, StaleReads: 2 * i})
 		record, err := client.Read(t.Context(), storer.ConfigKey, 0)
 		require.NoError(t, err)
 		current, err := declarer.Decode(record.Version, record.Value)
--- a/cmd/shallotrouter/process_test.go
+++ b/cmd/shallotrouter/process_test.go
@@ -280,20 +280,20 @@
 
 // totalCounts returns the starts at all targets and the most tasks that ran at the same
 // time on one of them.
-func (d *deployment) totalCounts() faker.Counts {
-	total := faker.Counts{Starts: make(map[string]int)}
+func (d *deployment) totalCounts() faker.TargetCounts {
+	total := faker.TargetCounts{Starts: make(map[string]int)}
 	for _, p := range d.targets {
 		c := d.targetCounts(p)
 		for name, n := range c.Starts {
 			total.Starts[name] += n
 		}
-		total.Most = max(total.Most, c.Most)
+		total.MaxRunning = max(total.MaxRunning, c.MaxRunning)
 	}
 	return total
 }
 
-func (d *deployment) targetCounts(p *process) faker.Counts {
-	var c faker.Counts
+func (d *deployment) targetCounts(p *process) faker.TargetCounts {
+	var c faker.TargetCounts
 	response, err := http.Get("http://" + p.address + "/counts")
 	if err != nil {
 		return c
@@ -330,7 +330,7 @@
 func newJob(ticket, label string, deadline time.Duration, runTimes ...time.Duration) shallotrouter.Job {
 	job := shallotrouter.Job{Ticket: ticket, Service: service, Deadline: shallotrouter.Duration(deadline)}
 	for i, runTime := range runTimes {
-		payload, err := json.Marshal(faker.Work{Run: runTime, Echo: fmt.Sprintf("%s-%d", label, i)})
+		payload, err := json.Marshal(faker.Work{RunTime: runTime, Result: fmt.Sprintf("%s-%d", label, i)})
 		if err != nil {
 			panic(err)
 		}
--- a/cmd/shallotrouter/whole_test.go
+++ b/cmd/shallotrouter/whole_test.go
@@ -76,7 +76,7 @@
 		}
 	}
 	require.Len(t, d.totalCounts().Starts, total)
-	require.LessOrEqual(t, d.totalCounts().Most, slots)
+	require.LessOrEqual(t, d.totalCounts().MaxRunning, slots)
 	d.requireNoRepeatedStarts()
 }
 
--- a/examples/loopback/main.go
+++ b/examples/loopback/main.go
@@ -166,7 +166,7 @@
 	defer source.generator.group.Done()
 	job := shallotrouter.Job{Service: stager.Service, Idempotent: true, Deadline: shallotrouter.Duration(deadline)}
 	for _, runTime := range s.runTimes {
-		payload, err := json.Marshal(faker.Work{Run: runTime, Echo: strings.Repeat("x", 10)})
+		payload, err := json.Marshal(faker.Work{RunTime: runTime, Result: strings.Repeat("x", 10)})
 		if err != nil {
 			return
 		}
--- a/examples/policies/main.go
+++ b/examples/policies/main.go
@@ -22,18 +22,18 @@
 	fmt.Fprintln(w, "place\tscenario\tpolicy\tjobs\tmean\tp50\tp99\tmsgs/task\tbusy%\tidle%\tidle/wait%\tfailed%\tB/s\tnote\t")
 	for _, place := range []struct {
 		name    string
-		place   bencher.Place
+		place   bencher.Deployment
 		clients int
-	}{{"restrepo", bencher.Restrepo(), 4}, {"kutchwala", bencher.Kutchwala(), 10}, {"planned", bencher.Planned(), bencher.PlannedClients}} {
+	}{{"restrepo", bencher.Restrepo(), 4}, {"kutchwala", bencher.Kutchwala(), 10}, {"planned", bencher.PlannedDeployment(), bencher.PlannedClients}} {
 		if place.name == "planned" && *onlyPlace != place.name {
 			continue // takes long, so it is measured only if it is selected
 		}
-		for _, v := range bencher.Variants() {
+		for _, v := range bencher.PolicyVariants() {
 			if *onlyPlace != "" && *onlyPlace != place.name || *onlyPolicy != "" && *onlyPolicy != v.Name {
 				continue
 			}
 			p := place.place
-			v.Change(&p)
+			v.Apply(&p)
 			m := &measurement{table: w, placeName: place.name, policy: v.Name}
 			m.runScenarios(p, place.clients, *seed, *duration)
 		}
@@ -54,23 +54,23 @@
 // settlingTime is the time between a fault and the start of the measurement.
 const settlingTime = 2 * time.Second
 
-func (m *measurement) runScenarios(p bencher.Place, clients int, seed uint64, duration time.Duration) {
-	m.printRow("honest 60%", bencher.Honest(p, clients, 0.6, seed, duration), "")
-	m.printRow("honest 90%", bencher.Honest(p, clients, 0.9, seed, duration), "")
-	m.printRow("small alone", bencher.Alone(p, seed, duration), "")
-	m.printRow("small beside flood", bencher.Flood(p, seed, duration), "")
-	f, jain := bencher.Backlog(p, clients, seed, duration)
+func (m *measurement) runScenarios(p bencher.Deployment, clients int, seed uint64, duration time.Duration) {
+	m.printRow("honest 60%", bencher.MeasureWellBehaved(p, clients, 0.6, seed, duration), "")
+	m.printRow("honest 90%", bencher.MeasureWellBehaved(p, clients, 0.9, seed, duration), "")
+	m.printRow("small alone", bencher.MeasureSmallAlone(p, seed, duration), "")
+	m.printRow("small beside flood", bencher.MeasureSmallBesideFlood(p, seed, duration), "")
+	f, jain := bencher.MeasureBacklog(p, clients, seed, duration)
 	m.printRow("backlog", f, fmt.Sprintf("Jain %.4f", jain))
-	m.printRow("a tenth fails", bencher.Sick(p, clients, seed, duration, settlingTime, bencher.FailAll), "")
-	m.printRow("a tenth is slow", bencher.Sick(p, clients, seed, duration, settlingTime, bencher.SlowDown), "")
+	m.printRow("a tenth fails", bencher.MeasureUnhealthyTargets(p, clients, seed, duration, settlingTime, bencher.MakeTasksFail), "")
+	m.printRow("a tenth is slow", bencher.MeasureUnhealthyTargets(p, clients, seed, duration, settlingTime, bencher.MakeSlow), "")
 }
 
-func (m *measurement) printRow(scenario string, f bencher.Figures, note string) {
+func (m *measurement) printRow(scenario string, f bencher.Measurements, note string) {
 	if len(f.Violations) > 0 {
 		note += fmt.Sprintf(" %d broken invariants: %s", len(f.Violations), f.Violations[0])
 	}
 	const percent = 100
 	fmt.Fprintf(m.table, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%s\t\n",
-		m.placeName, scenario, m.policy, f.Jobs, f.Mean, f.Median, f.P99, f.Messages,
-		f.Busy*percent, f.Idle*percent, f.IdleWhile*percent, f.Failed*percent, f.Bytes, note)
+		m.placeName, scenario, m.policy, f.Jobs, f.MeanSlowdown, f.MedianSlowdown, f.P99Slowdown, f.MessagesPerTask,
+		f.BusyRefusalsPerTask*percent, f.IdleShare*percent, f.IdleShareWhileWaiting*percent, f.FailedShare*percent, f.ReportBytesPerSecond, note)
 }
--- a/examples/quickstart/main.go
+++ b/examples/quickstart/main.go
@@ -80,7 +80,7 @@
 	}
 	job := shallotrouter.Job{Ticket: grant.Tickets[0], Service: stager.Service, Deadline: shallotrouter.Duration(deadline)}
 	for i := range tasksPerJob {
-		payload, err := json.Marshal(faker.Work{Run: s.longestRunTime * time.Duration(i+1) / tasksPerJob, Echo: fmt.Sprint(i)})
+		payload, err := json.Marshal(faker.Work{RunTime: s.longestRunTime * time.Duration(i+1) / tasksPerJob, Result: fmt.Sprint(i)})
 		if err != nil {
 			s.err = err
 			return
--- a/examples/standin/load.go
+++ b/examples/standin/load.go
@@ -38,7 +38,7 @@
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	payload, err := json.Marshal(faker.Work{Run: *runTime, Echo: "done"})
+	payload, err := json.Marshal(faker.Work{RunTime: *runTime, Result: "done"})
 	if err != nil {
 		return err
 	}
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -63,7 +63,7 @@
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	p := &faker.Platform{Lag: *lag}
+	p := &faker.Platform{DirectoryDelay: *lag}
 	if *path != "" {
 		text, err := os.ReadFile(*path)
 		if err != nil {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		p.Store(storer.ConfigKey, value)
+		p.WriteRow(storer.ConfigKey, value)
 	}
 	return serve(*listen, p.Handler())
 }
--- a/internal/assembler/daemon_test.go
+++ b/internal/assembler/daemon_test.go
@@ -22,7 +22,7 @@
 // clients. A job that is submitted to one host with the other's ticket is forwarded and
 // completes, and plain HTTP is rejected.
 func TestHostsServeAndForwardOverTLS(t *testing.T) {
-	certificate, key, err := faker.WritePair(t.TempDir(), 1)
+	certificate, key, err := faker.WriteKeyPair(t.TempDir(), 1)
 	require.NoError(t, err)
 	s := &stager.Deployment{
 		Zones: []string{"z"}, Hosts: []int{2}, Targets: 1, Slots: 2, Clients: []string{"comites"}, Log: logr.Discard(),
--- a/internal/bencher/back.go
+++ b/internal/bencher/back.go
@@ -8,8 +8,8 @@
 )
 
 // target returns the target with the given name.
-func (w *World) target(name string) *Back {
-	for _, b := range w.Backs {
+func (sim *Simulation) target(name string) *Target {
+	for _, b := range sim.AllTargets {
 		if b.Name == name {
 			return b
 		}
@@ -18,17 +18,17 @@
 }
 
 // sendTask sends a task to its target.
-func (w *World) sendTask(n *Node, e scheduler.Start) {
-	w.Tally.Sends++
-	sent := w.now
-	sub := w.submissionsByKey[w.ticketKey(n, e.Number)].sub
-	w.After(w.Near, func() { w.handleStart(n, e, sub, sent) })
+func (sim *Simulation) sendTask(n *EntryHost, e scheduler.Start) {
+	sim.Results.TasksSent++
+	sent := sim.now
+	sub := sim.submissionsByKey[sim.ticketKey(n, e.Number)].sub
+	sim.Schedule(sim.IntraZoneDelay, func() { sim.handleStart(n, e, sub, sent) })
 }
 
 // ticketKey returns the key of a ticket. It is unique among all incarnations of all
-// hosts, since a restarted host is a new entry of Nodes.
-func (w *World) ticketKey(n *Node, number uint64) uint64 {
-	for i, other := range w.Nodes {
+// hosts, since a restarted host is a new entry of EntryHosts.
+func (sim *Simulation) ticketKey(n *EntryHost, number uint64) uint64 {
+	for i, other := range sim.EntryHosts {
 		if other == n {
 			return uint64(i)<<ticketKeyShift | number
 		}
@@ -49,52 +49,52 @@
 const maxWaitingPerTarget = 52
 
 // handleStart starts a task at its target, queues it there or refuses it.
-func (w *World) handleStart(n *Node, e scheduler.Start, sub *Submission, sent time.Time) {
-	b := w.target(e.Target)
+func (sim *Simulation) handleStart(n *EntryHost, e scheduler.Start, sub *Submission, sent time.Time) {
+	b := sim.target(e.Target)
 	answer := func(result scheduler.Result, delay time.Duration) {
-		w.After(delay, func() {
-			w.Deliver(n, scheduler.RunEnded{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: w.now.Sub(sent)})
+		sim.Schedule(delay, func() {
+			sim.Deliver(n, scheduler.RunEnded{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: sim.now.Sub(sent)})
 		})
 	}
 	switch {
-	case b.Dead:
-		answer(scheduler.NotSent, w.Near)
+	case b.Exited:
+		answer(scheduler.NotSent, sim.IntraZoneDelay)
 	case b.Leaving:
-		w.Tally.checkLeaving(n, b)
-		answer(scheduler.Leaving, w.Near)
-	case w.now.After(e.StartBy):
-		answer(scheduler.OrderExpired, w.Near)
-	case b.running < w.Slots:
-		w.startTask(b, e, sub, answer)
-	case len(b.waiting) >= maxWaitingPerTarget || w.Refuse:
-		w.Tally.Busy++
-		answer(scheduler.Busy, w.Near)
+		sim.Results.checkLeaving(n, b)
+		answer(scheduler.Leaving, sim.IntraZoneDelay)
+	case sim.now.After(e.StartBy):
+		answer(scheduler.OrderExpired, sim.IntraZoneDelay)
+	case b.running < sim.Slots:
+		sim.startTask(b, e, sub, answer)
+	case len(b.waiting) >= maxWaitingPerTarget || sim.RefuseWhenBusy:
+		sim.Results.BusyRefusals++
+		answer(scheduler.Busy, sim.IntraZoneDelay)
 	default:
-		w.queueTask(b, e, sub, answer)
+		sim.queueTask(b, e, sub, answer)
 	}
 }
 
 // queueTask makes a task wait at its target until a slot is free or its start-by
 // time has passed.
-func (w *World) queueTask(b *Back, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
-	arrived := w.now
+func (sim *Simulation) queueTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
+	arrived := sim.now
 	task := &waitingTask{startBy: e.StartBy}
 	task.start = func() {
-		w.Tally.Held += w.now.Sub(arrived)
-		w.startTask(b, e, sub, answer)
+		sim.Results.WaitTimeAtTargets += sim.now.Sub(arrived)
+		sim.startTask(b, e, sub, answer)
 	}
 	b.waiting = append(b.waiting, task)
-	w.After(e.StartBy.Sub(w.now), func() {
+	sim.Schedule(e.StartBy.Sub(sim.now), func() {
 		if i := slices.Index(b.waiting, task); i >= 0 {
 			b.waiting = slices.Delete(b.waiting, i, i+1)
-			w.Tally.Busy++
-			answer(scheduler.OrderExpired, w.Near)
+			sim.Results.BusyRefusals++
+			answer(scheduler.OrderExpired, sim.IntraZoneDelay)
 		}
 	})
 }
 
 // startNext starts the task that has waited longest at the target, if any.
-func (b *Back) startNext() {
+func (b *Target) startNext() {
 	if len(b.waiting) > 0 {
 		task := b.waiting[0]
 		b.waiting = b.waiting[1:]
@@ -104,31 +104,31 @@
 
 // startTask occupies a slot of the target for the run time of the task and sends
 // the result afterwards.
-func (w *World) startTask(b *Back, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
-	w.Tally.recordStart(sub, e.Task)
-	if b.Fail || sub.Poison {
-		answer(scheduler.Failed, w.Near)
+func (sim *Simulation) startTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
+	sim.Results.recordStart(sub, e.Task)
+	if b.FailTasks || sub.AlwaysFails {
+		answer(scheduler.Failed, sim.IntraZoneDelay)
 		return
 	}
 	b.running++
-	runTime := time.Duration(float64(sub.Runs[e.Task]) * b.Slow)
-	w.Tally.recordUsage(sub.Client, runTime)
-	w.After(runTime, func() {
+	runTime := time.Duration(float64(sub.RunTimes[e.Task]) * b.SlowFactor)
+	sim.Results.recordUsage(sub.Client, runTime)
+	sim.Schedule(runTime, func() {
 		b.running--
 		b.startNext()
-		if b.Dead {
-			answer(w.lostAnswerResult(), w.Near)
+		if b.Exited {
+			answer(sim.lostAnswerResult(), sim.IntraZoneDelay)
 			return
 		}
 		sub.endedTasks[e.Task] = true
-		answer(scheduler.Done, w.Near)
+		answer(scheduler.Done, sim.IntraZoneDelay)
 	})
 }
 
 // lostAnswerResult returns the result that is reported for a task whose answer was
 // lost.
-func (w *World) lostAnswerResult() scheduler.Result {
-	if w.Unproven {
+func (sim *Simulation) lostAnswerResult() scheduler.Result {
+	if sim.ReportLostAsUnsent {
 		return scheduler.NotSent
 	}
 	return scheduler.NoAnswer
--- a/internal/bencher/chaos_test.go
+++ b/internal/bencher/chaos_test.go
@@ -30,51 +30,51 @@
 
 // chaosTest is a small simulation with random faults.
 type chaosTest struct {
-	*World
+	*Simulation
 	restarts int
 }
 
 func newChaosTest(seed uint64, reportLostAsUnsent bool) *chaosTest {
-	p := Place{
-		Zones: 1, Hosts: 3, Targets: 4, Slots: 2, Near: time.Millisecond, Far: time.Millisecond,
-		Preset: declarer.Ordinary, Bounds: scheduler.Standard(), Text: declarations(3, ""), Unproven: reportLostAsUnsent,
+	p := Deployment{
+		Zones: 1, Hosts: 3, Targets: 4, Slots: 2, IntraZoneDelay: time.Millisecond, ClientDelay: time.Millisecond,
+		Preset: declarer.Ordinary, Bounds: scheduler.Standard(), Declarations: declarations(3, ""), ReportLostAsUnsent: reportLostAsUnsent,
 	}
-	p.Text = strings.Replace(p.Text, "slots = 8", "slots = 2", 1)
-	return &chaosTest{World: New(p, seed)}
+	p.Declarations = strings.Replace(p.Declarations, "slots = 8", "slots = 2", 1)
+	return &chaosTest{Simulation: New(p, seed)}
 }
 
 // drawHost draws one of the entry hosts.
-func (c *chaosTest) drawHost(t *rapid.T) *Node {
-	return c.Nodes[rapid.IntRange(0, len(c.Nodes)-1).Draw(t, "node")]
+func (c *chaosTest) drawHost(t *rapid.T) *EntryHost {
+	return c.EntryHosts[rapid.IntRange(0, len(c.EntryHosts)-1).Draw(t, "node")]
 }
 
 // drawTarget draws one of the targets.
-func (c *chaosTest) drawTarget(t *rapid.T) *Back {
-	return c.Backs[rapid.IntRange(0, len(c.Backs)-1).Draw(t, "target")]
+func (c *chaosTest) drawTarget(t *rapid.T) *Target {
+	return c.AllTargets[rapid.IntRange(0, len(c.AllTargets)-1).Draw(t, "target")]
 }
 
 // drawJob draws one of the jobs, and submits a job if there is none.
 func (c *chaosTest) drawJob(t *rapid.T) *Submission {
-	if len(c.Tally.Submissions) == 0 {
+	if len(c.Results.Submissions) == 0 {
 		c.submit(t)
 	}
-	return c.Tally.Submissions[rapid.IntRange(0, len(c.Tally.Submissions)-1).Draw(t, "job")]
+	return c.Results.Submissions[rapid.IntRange(0, len(c.Results.Submissions)-1).Draw(t, "job")]
 }
 
 func (c *chaosTest) submit(t *rapid.T) {
 	milliseconds := rapid.SliceOfN(rapid.IntRange(1, 2000), 1, 12).Draw(t, "runs")
 	deadline := time.Duration(rapid.IntRange(10, 5000).Draw(t, "deadline")) * time.Millisecond
-	job, _ := Draw(c.Random, []Class{{Kind: "k", Part: 1, Least: len(milliseconds), Most: len(milliseconds), Short: time.Millisecond, Long: time.Second}}, deadline)
+	job, _ := RandomJob(c.Random, []JobClass{{Kind: "k", Share: 1, MinTasks: len(milliseconds), MaxTasks: len(milliseconds), MinRunTime: time.Millisecond, MaxRunTime: time.Second}}, deadline)
 	runTimes := make([]time.Duration, len(job.Tasks))
 	for i := range runTimes {
 		runTimes[i] = time.Duration(milliseconds[i%len(milliseconds)]) * time.Millisecond
 	}
 	client := clientName(rapid.IntRange(0, 2).Draw(t, "client"))
-	c.Submit(c.drawHost(t), client, job, runTimes).Poison = rapid.IntRange(0, 9).Draw(t, "poison") == 0
+	c.Submit(c.drawHost(t), client, job, runTimes).AlwaysFails = rapid.IntRange(0, 9).Draw(t, "poison") == 0
 }
 
 func (c *chaosTest) resubmit(t *rapid.T) {
-	if sub := c.drawJob(t); sub.Number > 0 && !sub.Node.Dead {
+	if sub := c.drawJob(t); sub.TicketNumber > 0 && !sub.Host.Exited {
 		c.Resubmit(sub)
 	}
 }
@@ -87,17 +87,17 @@
 
 func (c *chaosTest) pauseOrResume(t *rapid.T) {
 	n := c.drawHost(t)
-	if n.Frozen {
+	if n.Paused {
 		n.reachableSince = c.Now()
-		c.Thaw(n)
+		c.Resume(n)
 		return
 	}
-	n.Frozen = !n.Dead
+	n.Paused = !n.Exited
 }
 
 func (c *chaosTest) togglePartition(t *rapid.T) {
 	n := c.drawHost(t)
-	n.Cut = !n.Cut
+	n.Partitioned = !n.Partitioned
 	n.reachableSince = c.Now()
 }
 
@@ -105,23 +105,23 @@
 // test.
 func (c *chaosTest) restart(t *rapid.T) {
 	n := c.drawHost(t)
-	if n.Dead || c.restarts >= 5 {
+	if n.Exited || c.restarts >= 5 {
 		return
 	}
 	c.restarts++
-	n.Dead = true
-	c.AddNode(n.Name, n.Zone)
+	n.Exited = true
+	c.AddHost(n.Name, n.Zone)
 }
 
 func (c *chaosTest) injectTargetFault(t *rapid.T) {
 	b := c.drawTarget(t)
 	switch rapid.IntRange(0, 3).Draw(t, "fault") {
 	case 0:
-		b.Dead = !b.Dead
+		b.Exited = !b.Exited
 	case 1:
-		b.Fail = !b.Fail
+		b.FailTasks = !b.FailTasks
 	case 2:
-		b.Slow = 11 - b.Slow
+		b.SlowFactor = 11 - b.SlowFactor
 	case 3:
 		b.Leaving = true
 	}
@@ -129,7 +129,7 @@
 
 func (c *chaosTest) changePreset(t *rapid.T) {
 	c.SetPreset(rapid.SampledFrom(declarer.PresetNames()).Draw(t, "preset"))
-	for _, n := range c.Nodes {
+	for _, n := range c.EntryHosts {
 		if rapid.Bool().Draw(t, "reached") {
 			c.Deliver(n, scheduler.Adopt{Config: c.Config})
 		}
@@ -146,19 +146,19 @@
 func (c *chaosTest) sendDirectory(t *rapid.T) {
 	n := c.drawHost(t)
 	c.Deliver(n, scheduler.Locate{Directory: c.Directory(n.Zone)})
-	for _, b := range c.Backs {
-		if b.Leaving && !n.Cut && !n.Frozen && !n.Dead {
-			c.Tally.recordLeavingKnown(n, b)
+	for _, b := range c.AllTargets {
+		if b.Leaving && !n.Partitioned && !n.Paused && !n.Exited {
+			c.Results.recordLeavingKnown(n, b)
 		}
 	}
 }
 
 // checkInvariants checks what must hold after every action.
 func (c *chaosTest) checkInvariants(t *rapid.T) {
-	if len(c.Tally.Violations) > 0 {
-		t.Fatalf("%s", c.Tally.Violations[0])
+	if len(c.Results.Violations) > 0 {
+		t.Fatalf("%s", c.Results.Violations[0])
 	}
-	for _, n := range c.Nodes {
+	for _, n := range c.EntryHosts {
 		if v := n.Scheduler.View().Config; v != nil {
 			if v.Version < n.configVersion {
 				t.Fatalf("configuration version of %s went back from %d to %d", n.Name, n.configVersion, v.Version)
@@ -171,25 +171,25 @@
 // endFaults ends all faults and requires an answer to every job of a host that was not
 // killed.
 func (c *chaosTest) endFaults(t *rapid.T) {
-	for _, b := range c.Backs {
-		b.Dead, b.Fail, b.Slow = false, false, 1
+	for _, b := range c.AllTargets {
+		b.Exited, b.FailTasks, b.SlowFactor = false, false, 1
 	}
-	for _, n := range c.Nodes {
-		n.Cut = false
+	for _, n := range c.EntryHosts {
+		n.Partitioned = false
 		n.reachableSince = c.Now()
-		if n.Frozen {
-			c.Thaw(n)
+		if n.Paused {
+			c.Resume(n)
 		}
 	}
 	c.Run(time.Minute)
 	c.checkInvariants(t)
-	for _, sub := range c.Tally.Submissions {
-		if sub.Number > 0 && !sub.Node.Dead && sub.Answer == nil {
-			t.Fatalf("job %d of %s at %s has no answer", sub.Number, sub.Client, sub.Node.Name)
+	for _, sub := range c.Results.Submissions {
+		if sub.TicketNumber > 0 && !sub.Host.Exited && sub.Answer == nil {
+			t.Fatalf("job %d of %s at %s has no answer", sub.TicketNumber, sub.Client, sub.Host.Name)
 		}
 	}
-	for _, n := range c.Nodes {
-		if !n.Dead && n.Scheduler.WaitingTasks() != 0 {
+	for _, n := range c.EntryHosts {
+		if !n.Exited && n.Scheduler.WaitingTasks() != 0 {
 			t.Fatalf("%s counts %d waiting tasks after all its jobs were answered", n.Name, n.Scheduler.WaitingTasks())
 		}
 	}
@@ -219,13 +219,13 @@
 	for i := range simulations {
 		c := newChaosTest(uint64(i), true)
 		for range 20 {
-			job, runTimes := Draw(c.Random, Small(), time.Minute)
-			c.Submit(c.Nodes[c.Random.IntN(3)], clientName(0), job, runTimes)
+			job, runTimes := RandomJob(c.Random, SmallClasses(), time.Minute)
+			c.Submit(c.EntryHosts[c.Random.IntN(3)], clientName(0), job, runTimes)
 			c.Run(20 * time.Millisecond)
 		}
-		c.Backs[0].Dead = true
+		c.AllTargets[0].Exited = true
 		c.Run(2 * time.Second)
-		for _, v := range c.Tally.Violations {
+		for _, v := range c.Results.Violations {
 			assert.Contains(t, v, "starts at most once")
 			found++
 		}
--- a/internal/bencher/policy_test.go
+++ b/internal/bencher/policy_test.go
@@ -25,7 +25,7 @@
 // site is a deployment with its number of clients.
 type site struct {
 	name    string
-	place   Place
+	place   Deployment
 	clients int
 }
 
@@ -36,22 +36,22 @@
 func TestModerateLoadIsServedWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
-		f := Honest(s.place, s.clients, 0.6, 1, testDuration)
+		f := MeasureWellBehaved(s.place, s.clients, 0.6, 1, testDuration)
 		require.Empty(t, f.Violations, s.name)
-		assert.LessOrEqual(t, f.Mean, maxMeanSlowdown, s.name)
-		assert.LessOrEqual(t, f.Messages, maxMessagesPerTask, s.name)
-		assert.LessOrEqual(t, f.Busy, maxBusyShare, s.name)
-		assert.Zero(t, f.Failed, s.name)
+		assert.LessOrEqual(t, f.MeanSlowdown, maxMeanSlowdown, s.name)
+		assert.LessOrEqual(t, f.MessagesPerTask, maxMessagesPerTask, s.name)
+		assert.LessOrEqual(t, f.BusyRefusalsPerTask, maxBusyShare, s.name)
+		assert.Zero(t, f.FailedShare, s.name)
 	}
 }
 
 func TestFloodBarelySlowsSmallClient(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
-		alone := Alone(s.place, 1, testDuration)
-		flooded := Flood(s.place, 1, testDuration)
+		alone := MeasureSmallAlone(s.place, 1, testDuration)
+		flooded := MeasureSmallBesideFlood(s.place, 1, testDuration)
 		require.Empty(t, flooded.Violations, s.name)
-		assert.LessOrEqual(t, flooded.P99/alone.P99, maxFloodRatio, s.name)
+		assert.LessOrEqual(t, flooded.P99Slowdown/alone.P99Slowdown, maxFloodRatio, s.name)
 	}
 }
 
@@ -61,41 +61,41 @@
 func TestSingleQueueExceedsFloodLimit(t *testing.T) {
 	t.Parallel()
 	p := Restrepo()
-	for _, v := range Variants() {
+	for _, v := range PolicyVariants() {
 		if v.Name == "fifo" {
-			v.Change(&p)
+			v.Apply(&p)
 		}
 	}
-	flooded := Flood(p, 1, testDuration)
-	assert.False(t, flooded.P99/Alone(p, 1, testDuration).P99 <= maxFloodRatio, "p99 %.2f", flooded.P99)
+	flooded := MeasureSmallBesideFlood(p, 1, testDuration)
+	assert.False(t, flooded.P99Slowdown/MeasureSmallAlone(p, 1, testDuration).P99Slowdown <= maxFloodRatio, "p99 %.2f", flooded.P99Slowdown)
 }
 
 func TestBacklogIsSharedFairly(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
-		f, jain := Backlog(s.place, s.clients, 1, testDuration)
+		f, jain := MeasureBacklog(s.place, s.clients, 1, testDuration)
 		require.Empty(t, f.Violations, s.name)
 		assert.GreaterOrEqual(t, jain, minJainIndex, s.name)
-		assert.LessOrEqual(t, f.IdleWhile, maxIdleShare, s.name)
-		assert.LessOrEqual(t, f.Busy, maxBusyShare, s.name)
+		assert.LessOrEqual(t, f.IdleShareWhileWaiting, maxIdleShare, s.name)
+		assert.LessOrEqual(t, f.BusyRefusalsPerTask, maxBusyShare, s.name)
 	}
 }
 
 func TestFailingTargetsFailFewJobs(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
-		f := Sick(s.place, s.clients, 1, testDuration, 2*time.Second, FailAll)
+		f := MeasureUnhealthyTargets(s.place, s.clients, 1, testDuration, 2*time.Second, MakeTasksFail)
 		require.Empty(t, f.Violations, s.name)
-		assert.LessOrEqual(t, f.Failed, maxFailedShare, s.name)
+		assert.LessOrEqual(t, f.FailedShare, maxFailedShare, s.name)
 	}
 }
 
 func TestSlowTargetsBarelySlowJobs(t *testing.T) {
 	t.Parallel()
 	for _, s := range sites() {
-		healthy := Honest(s.place, s.clients, 0.6, 1, testDuration)
-		f := Sick(s.place, s.clients, 1, testDuration, 2*time.Second, SlowDown)
+		healthy := MeasureWellBehaved(s.place, s.clients, 0.6, 1, testDuration)
+		f := MeasureUnhealthyTargets(s.place, s.clients, 1, testDuration, 2*time.Second, MakeSlow)
 		require.Empty(t, f.Violations, s.name)
-		assert.LessOrEqual(t, f.P99/healthy.P99, maxSlowTargetRatio, s.name)
+		assert.LessOrEqual(t, f.P99Slowdown/healthy.P99Slowdown, maxSlowTargetRatio, s.name)
 	}
 }
--- a/internal/bencher/scenario.go
+++ b/internal/bencher/scenario.go
@@ -21,31 +21,31 @@
 )
 
 // Restrepo returns the deployment of the relief dispatcher.
-func Restrepo() Place {
-	return Place{
-		Zones: 3, Hosts: 3, Targets: 17, Slots: 8, Near: 500 * time.Microsecond, Far: time.Millisecond,
-		Preset: declarer.Ordinary, Bounds: scheduler.Standard(), Text: declarations(4, ""),
+func Restrepo() Deployment {
+	return Deployment{
+		Zones: 3, Hosts: 3, Targets: 17, Slots: 8, IntraZoneDelay: 500 * time.Microsecond, ClientDelay: time.Millisecond,
+		Preset: declarer.Ordinary, Bounds: scheduler.Standard(), Declarations: declarations(4, ""),
 	}
 }
 
 // Kutchwala returns the deployment of the auction desk.
-func Kutchwala() Place {
+func Kutchwala() Deployment {
 	p := Restrepo()
-	p.Far = 3 * time.Millisecond
-	p.Text = declarations(10, "")
+	p.ClientDelay = 3 * time.Millisecond
+	p.Declarations = declarations(10, "")
 	return p
 }
 
-// PlannedClients is the number of clients of Planned.
+// PlannedClients is the number of clients of PlannedDeployment.
 const PlannedClients = 150
 
-// Planned returns one zone of the planned size: 86 targets and 150 clients. While
+// PlannedDeployment returns one zone of the planned size: 86 targets and 150 clients. While
 // tasks wait, its hosts send reports every 350 ms, the shortest interval that the
 // limit on report bytes allows at that size.
-func Planned() Place {
+func PlannedDeployment() Deployment {
 	p := Restrepo()
 	p.Zones, p.Targets = 1, 86
-	p.Text = declarations(PlannedClients, "")
+	p.Declarations = declarations(PlannedClients, "")
 	p.Bounds.FastReportInterval = 350 * time.Millisecond
 	return p
 }
@@ -58,7 +58,7 @@
 func declarations(clients int, extra string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service %s]\nslots = 8\n", Service)
-	names := []string{Everyone, "flood", "small"}
+	names := []string{MergedClient, "flood", "small"}
 	for i := range clients {
 		names = append(names, clientName(i))
 	}
@@ -68,38 +68,38 @@
 	return b.String() + extra
 }
 
-// Variant is a scheduling policy to measure.
-type Variant struct {
-	Name   string
-	Change func(*Place)
+// PolicyVariant is a scheduling policy to measure.
+type PolicyVariant struct {
+	Name  string
+	Apply func(*Deployment)
 }
 
-// Variants returns the policy in use, followed by the baselines.
-func Variants() []Variant {
-	return []Variant{
-		{Name: "fair", Change: func(*Place) {}},
-		{Name: "fifo", Change: func(p *Place) {
-			p.Merge = true
-			p.Text = strings.Replace(p.Text, "slots = 8", "slots = 8\norder = first", 1)
+// PolicyVariants returns the policy in use, followed by the baselines.
+func PolicyVariants() []PolicyVariant {
+	return []PolicyVariant{
+		{Name: "fair", Apply: func(*Deployment) {}},
+		{Name: "fifo", Apply: func(p *Deployment) {
+			p.SingleQueue = true
+			p.Declarations = strings.Replace(p.Declarations, "slots = 8", "slots = 8\norder = first", 1)
 		}},
-		{Name: "random", Change: func(p *Place) { p.Scatter = true }},
+		{Name: "random", Apply: func(p *Deployment) { p.RandomPlacement = true }},
 	}
 }
 
-// Figures are the results of a simulation.
-type Figures struct {
-	Jobs       int
-	Mean       float64 // slowdown
-	Median     float64
-	P99        float64
-	Messages   float64 // per started task, including its request and answer
-	Busy       float64 // refusals per started task
-	Idle       float64 // share of the slot time that was free while tasks waited
-	IdleWhile  float64 // the same, as a share of the slot time during which tasks waited
-	Failed     float64 // share of the jobs
-	Refused    float64
-	Bytes      float64 // of reports, per second and host
-	Violations []string
+// Measurements are the results of a simulation.
+type Measurements struct {
+	Jobs                  int
+	MeanSlowdown          float64 // slowdown
+	MedianSlowdown        float64
+	P99Slowdown           float64
+	MessagesPerTask       float64 // per started task, including its request and answer
+	BusyRefusalsPerTask   float64 // refusals per started task
+	IdleShare             float64 // share of the slot time that was free while tasks waited
+	IdleShareWhileWaiting float64 // the same, as a share of the slot time during which tasks waited
+	FailedShare           float64 // share of the jobs
+	RefusedShare          float64
+	ReportBytesPerSecond  float64 // of reports, per second and host
+	Violations            []string
 }
 
 // messagesPerPoll is the number of messages of one poll of the platform: a request
@@ -107,52 +107,52 @@
 const messagesPerPoll = 4
 
 // measure returns the results for the jobs that were submitted between two times.
-func (w *World) measure(client string, clients int, from, to time.Duration) Figures {
-	t := w.Tally
+func (sim *Simulation) measure(client string, clients int, from, to time.Duration) Measurements {
+	t := sim.Results
 	slowdowns := t.Slowdowns(client, clients, from, to)
 	complete, failed, refused, _ := t.Outcomes(from, to)
 	jobs := float64(complete + failed + refused)
-	seconds := w.now.Sub(epoch).Seconds()
-	polls := seconds / 2 * float64(len(w.Nodes)) * messagesPerPoll
-	starts := float64(t.Sends - t.Busy)
-	f := Figures{
-		Jobs: len(slowdowns), Mean: Mean(slowdowns), Median: Quantile(slowdowns, 0.5), P99: Quantile(slowdowns, 0.99),
-		Messages: (2*float64(t.Sends) + float64(t.Reports) + polls) / starts,
-		Busy:     float64(t.Busy) / starts,
-		Idle:     t.Idle.Seconds() / t.Taken.Seconds(),
-		Failed:   float64(failed) / jobs, Refused: float64(refused) / jobs,
-		Bytes:      float64(t.ReportBytes) / seconds / float64(len(w.Nodes)),
-		Violations: t.Violations,
+	seconds := sim.now.Sub(epoch).Seconds()
+	polls := seconds / 2 * float64(len(sim.EntryHosts)) * messagesPerPoll
+	starts := float64(t.TasksSent - t.BusyRefusals)
+	f := Measurements{
+		Jobs: len(slowdowns), MeanSlowdown: Mean(slowdowns), MedianSlowdown: Quantile(slowdowns, 0.5), P99Slowdown: Quantile(slowdowns, 0.99),
+		MessagesPerTask:     (2*float64(t.TasksSent) + float64(t.Reports) + polls) / starts,
+		BusyRefusalsPerTask: float64(t.BusyRefusals) / starts,
+		IdleShare:           t.IdleSlotTime.Seconds() / t.ObservedSlotTime.Seconds(),
+		FailedShare:         float64(failed) / jobs, RefusedShare: float64(refused) / jobs,
+		ReportBytesPerSecond: float64(t.ReportBytes) / seconds / float64(len(sim.EntryHosts)),
+		Violations:           t.Violations,
 	}
-	if t.Contended > 0 {
-		f.IdleWhile = t.Idle.Seconds() / t.Contended.Seconds()
+	if t.ContendedSlotTime > 0 {
+		f.IdleShareWhileWaiting = t.IdleSlotTime.Seconds() / t.ContendedSlotTime.Seconds()
 	}
 	return f
 }
 
 // capacity returns the number of slots of the whole deployment.
-func (p Place) capacity() float64 { return float64(p.Zones * p.Targets * p.Slots) }
+func (p Deployment) capacity() float64 { return float64(p.Zones * p.Targets * p.Slots) }
 
-// Honest measures well-behaved clients whose demand adds up to the load, a share of
+// MeasureWellBehaved measures well-behaved clients whose demand adds up to the load, a share of
 // the capacity.
-func Honest(p Place, clients int, load float64, seed uint64, duration time.Duration) Figures {
-	w := New(p, seed)
+func MeasureWellBehaved(p Deployment, clients int, load float64, seed uint64, duration time.Duration) Measurements {
+	sim := New(p, seed)
 	for i := range clients {
-		w.Play(Source{Client: clientName(i), Classes: Usual(), Load: load * p.capacity() / float64(clients), Deadline: unreachedDeadline})
+		sim.AddSource(JobSource{Client: clientName(i), Classes: OrdinaryClasses(), Load: load * p.capacity() / float64(clients), Deadline: unreachedDeadline})
 	}
-	w.Tally.Watch(sampleInterval)
-	w.Run(warmUpDuration + duration)
-	return w.measure("", clients, warmUpDuration, duration+warmUpDuration/2)
+	sim.Results.StartSampling(sampleInterval)
+	sim.Run(warmUpDuration + duration)
+	return sim.measure("", clients, warmUpDuration, duration+warmUpDuration/2)
 }
 
-// Alone measures a small client that is the only client of the deployment.
-func Alone(p Place, seed uint64, duration time.Duration) Figures {
+// MeasureSmallAlone measures a small client that is the only client of the deployment.
+func MeasureSmallAlone(p Deployment, seed uint64, duration time.Duration) Measurements {
 	return measureFlood(p, 0, seed, duration)
 }
 
-// Flood measures a small client beside a client whose demand is five times the
+// MeasureSmallBesideFlood measures a small client beside a client whose demand is five times the
 // capacity.
-func Flood(p Place, seed uint64, duration time.Duration) Figures {
+func MeasureSmallBesideFlood(p Deployment, seed uint64, duration time.Duration) Measurements {
 	return measureFlood(p, floodLoad, seed, duration)
 }
 
@@ -163,39 +163,39 @@
 	smallLoad = 0.02
 )
 
-func measureFlood(p Place, load float64, seed uint64, duration time.Duration) Figures {
-	w := New(p, seed)
-	w.Play(Source{Client: "small", Classes: Small(), Load: smallLoad * p.capacity(), Deadline: unreachedDeadline})
+func measureFlood(p Deployment, load float64, seed uint64, duration time.Duration) Measurements {
+	sim := New(p, seed)
+	sim.AddSource(JobSource{Client: "small", Classes: SmallClasses(), Load: smallLoad * p.capacity(), Deadline: unreachedDeadline})
 	if load > 0 {
-		w.Play(Source{Client: "flood", Classes: Heavy(), Load: load * p.capacity(), Deadline: unreachedDeadline})
+		sim.AddSource(JobSource{Client: "flood", Classes: HeavyClasses(), Load: load * p.capacity(), Deadline: unreachedDeadline})
 	}
-	w.Tally.Watch(sampleInterval)
-	w.Run(warmUpDuration + duration)
-	return w.measure("small", 2, warmUpDuration, duration+warmUpDuration/2)
+	sim.Results.StartSampling(sampleInterval)
+	sim.Run(warmUpDuration + duration)
+	return sim.measure("small", 2, warmUpDuration, duration+warmUpDuration/2)
 }
 
-// Backlog measures clients that always have tasks waiting and submit their jobs
+// MeasureBacklog measures clients that always have tasks waiting and submit their jobs
 // unevenly to the hosts. It also returns the lowest Jain index of any five seconds.
-func Backlog(p Place, clients int, seed uint64, duration time.Duration) (Figures, float64) {
-	w := New(p, seed)
+func MeasureBacklog(p Deployment, clients int, seed uint64, duration time.Duration) (Measurements, float64) {
+	sim := New(p, seed)
 	names := make([]string, clients)
 	weights := make([]float64, clients)
 	for i := range clients {
 		names[i], weights[i] = clientName(i), 1
-		w.Play(Source{
-			Client: names[i], Classes: Heavy(), Deadline: unreachedDeadline, Land: unevenHostPicker(i),
+		sim.AddSource(JobSource{
+			Client: names[i], Classes: HeavyClasses(), Deadline: unreachedDeadline, PickHost: unevenHostPicker(i),
 			Load: 2 * p.capacity() / float64(clients) * float64(1+i%3),
 		})
 	}
-	w.Tally.Watch(sampleInterval)
-	w.Run(warmUpDuration + duration)
-	return w.measure("", clients, warmUpDuration, warmUpDuration+duration), w.Tally.Jain(names, weights, 5*time.Second, warmUpDuration, warmUpDuration+duration)
+	sim.Results.StartSampling(sampleInterval)
+	sim.Run(warmUpDuration + duration)
+	return sim.measure("", clients, warmUpDuration, warmUpDuration+duration), sim.Results.MinJainIndex(names, weights, 5*time.Second, warmUpDuration, warmUpDuration+duration)
 }
 
 // unevenHostPicker returns a function that picks the hosts for the i-th client: in
 // each zone one host twice as often as the next one, and the third one never.
-func unevenHostPicker(i int) func(*rand.Rand, []*Node) *Node {
-	return func(r *rand.Rand, nodes []*Node) *Node {
+func unevenHostPicker(i int) func(*rand.Rand, []*EntryHost) *EntryHost {
+	return func(r *rand.Rand, nodes []*EntryHost) *EntryHost {
 		const zoneHosts = 3
 		zone := r.IntN(len(nodes) / zoneHosts)
 		host := i
@@ -206,28 +206,29 @@
 	}
 }
 
-// Sick measures well-behaved clients while one target in ten is unhealthy. The fault
+// MeasureUnhealthyTargets measures well-behaved clients while one target in ten is
+// unhealthy. The fault
 // is injected after the warm-up, and jobs that are submitted within the settling time
 // after it are not counted.
-func Sick(p Place, clients int, seed uint64, duration, settlingTime time.Duration, injectFault func(*Back)) Figures {
-	w := New(p, seed)
+func MeasureUnhealthyTargets(p Deployment, clients int, seed uint64, duration, settlingTime time.Duration, injectFault func(*Target)) Measurements {
+	sim := New(p, seed)
 	for i := range clients {
-		w.Play(Source{Client: clientName(i), Classes: Usual(), Load: 0.6 * p.capacity() / float64(clients), Deadline: unreachedDeadline})
+		sim.AddSource(JobSource{Client: clientName(i), Classes: OrdinaryClasses(), Load: 0.6 * p.capacity() / float64(clients), Deadline: unreachedDeadline})
 	}
-	w.After(warmUpDuration, func() {
-		for i, b := range w.Backs {
+	sim.Schedule(warmUpDuration, func() {
+		for i, b := range sim.AllTargets {
 			if i%10 == 3 {
 				injectFault(b)
 			}
 		}
 	})
-	w.Tally.Watch(sampleInterval)
-	w.Run(warmUpDuration + settlingTime + duration)
-	return w.measure("", clients, warmUpDuration+settlingTime, settlingTime+duration+warmUpDuration/2)
+	sim.Results.StartSampling(sampleInterval)
+	sim.Run(warmUpDuration + settlingTime + duration)
+	return sim.measure("", clients, warmUpDuration+settlingTime, settlingTime+duration+warmUpDuration/2)
 }
 
-// FailAll makes a target fail every task.
-func FailAll(b *Back) { b.Fail = true }
+// MakeTasksFail makes a target fail every task.
+func MakeTasksFail(b *Target) { b.FailTasks = true }
 
-// SlowDown makes a target ten times slower.
-func SlowDown(b *Back) { b.Slow = 10 }
+// MakeSlow makes a target ten times slower.
+func MakeSlow(b *Target) { b.SlowFactor = 10 }
--- a/internal/bencher/tally.go
+++ b/internal/bencher/tally.go
@@ -9,32 +9,33 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// Tally collects the measurements of a simulation and its violations of invariants.
-type Tally struct {
+// Results collects the measurements of a simulation and its violations of invariants.
+type Results struct {
 	// Steps counts the events that the schedulers handled.
 	Steps int
-	// Sends counts the tasks sent, Busy the tasks that a target refused for lack
-	// of a free slot, and Requeues the tasks placed again. Reports counts the
+	// TasksSent counts the tasks sent, BusyRefusals the tasks that a target refused
+	// for lack of a free slot, and Requeues the tasks placed again. Reports counts the
 	// reports sent to peers, ReportBytes their bytes.
-	Sends       int
-	Busy        int
-	Requeues    int
-	Reports     int
-	ReportBytes int
-	// Held is the total time for which tasks waited at targets for a slot.
-	Held time.Duration
+	TasksSent    int
+	BusyRefusals int
+	Requeues     int
+	Reports      int
+	ReportBytes  int
+	// WaitTimeAtTargets is the total time for which tasks waited at targets for a slot.
+	WaitTimeAtTargets time.Duration
 	// Submissions are all jobs.
 	Submissions []*Submission
 	// Violations are the violations of invariants.
 	Violations []string
-	// Idle is the slot time that was free while tasks waited in the zone. Taken is
-	// the observed slot time, and Contended the share of it in which tasks waited.
-	Idle      time.Duration
-	Taken     time.Duration
-	Contended time.Duration
+	// IdleSlotTime is the slot time that was free while tasks waited in the zone.
+	// ObservedSlotTime is the observed slot time, and ContendedSlotTime the share of
+	// it in which tasks waited.
+	IdleSlotTime      time.Duration
+	ObservedSlotTime  time.Duration
+	ContendedSlotTime time.Duration
 
-	world  *World
-	usages []slotUsage
+	simulation *Simulation
+	usages     []slotUsage
 }
 
 // slotUsage is the time for which a task of a client occupies a slot.
@@ -44,44 +45,44 @@
 	runTime time.Duration
 }
 
-func newTally(w *World) *Tally { return &Tally{world: w} }
+func newResults(sim *Simulation) *Results { return &Results{simulation: sim} }
 
-func (t *Tally) recordViolation(format string, args ...any) {
+func (t *Results) recordViolation(format string, args ...any) {
 	t.Violations = append(t.Violations, fmt.Sprintf(format, args...))
 }
 
 // recordStart counts a start of a task and checks that it is the only one and that
 // the job was not refused.
-func (t *Tally) recordStart(sub *Submission, task int) {
+func (t *Results) recordStart(sub *Submission, task int) {
 	sub.startCounts[task]++
 	if sub.startCounts[task] > 1 {
-		t.recordViolation("starts at most once: task %[3]d of job %[1]d of %[2]s was started again", sub.Number, sub.Client, task)
+		t.recordViolation("starts at most once: task %[3]d of job %[1]d of %[2]s was started again", sub.TicketNumber, sub.Client, task)
 	}
 	if answer := sub.Answer; answer != nil && answer.Outcome == shallotrouter.Refused {
-		t.recordViolation("not run is true: job %d of %s was started after its refusal", sub.Number, sub.Client)
+		t.recordViolation("not run is true: job %d of %s was started after its refusal", sub.TicketNumber, sub.Client)
 	}
 }
 
 // checkLeaving checks that a leaving target gets no more tasks after
 // maxLeavingDelay, counted from the time when a host with connections to its peers
 // learns from the host list or from the target's answer that the target is leaving.
-func (t *Tally) checkLeaving(n *Node, b *Back) {
+func (t *Results) checkLeaving(n *EntryHost, b *Target) {
 	since := b.leavingKnownAt
 	if n.reachableSince.After(since) {
 		since = n.reachableSince
 	}
-	if !b.leavingKnownAt.IsZero() && !n.Cut && t.world.now.Sub(since) > maxLeavingDelay {
-		t.recordViolation("leaving targets get nothing: %s got a task from %s %v after it was known to be leaving", b.Name, n.Name, t.world.now.Sub(since))
+	if !b.leavingKnownAt.IsZero() && !n.Partitioned && t.simulation.now.Sub(since) > maxLeavingDelay {
+		t.recordViolation("leaving targets get nothing: %s got a task from %s %v after it was known to be leaving", b.Name, n.Name, t.simulation.now.Sub(since))
 	}
 	t.recordLeavingKnown(n, b)
 }
 
 // recordLeavingKnown records that a host knows that a target is leaving. The check
 // applies to the other hosts after reportDelay, when the host has reported it to them.
-func (t *Tally) recordLeavingKnown(n *Node, b *Back) {
-	t.world.After(reportDelay, func() {
-		if b.leavingKnownAt.IsZero() && !n.Cut && !n.Frozen && !n.Dead {
-			b.leavingKnownAt = t.world.now
+func (t *Results) recordLeavingKnown(n *EntryHost, b *Target) {
+	t.simulation.Schedule(reportDelay, func() {
+		if b.leavingKnownAt.IsZero() && !n.Partitioned && !n.Paused && !n.Exited {
+			b.leavingKnownAt = t.simulation.now
 		}
 	})
 }
@@ -93,12 +94,12 @@
 const maxLeavingDelay = 3 * time.Second
 
 // recordUsage records that a task of the client occupies a slot from now on.
-func (t *Tally) recordUsage(client string, runTime time.Duration) {
-	t.usages = append(t.usages, slotUsage{client: client, from: t.world.now, runTime: runTime})
+func (t *Results) recordUsage(client string, runTime time.Duration) {
+	t.usages = append(t.usages, slotUsage{client: client, from: t.simulation.now, runTime: runTime})
 }
 
 // checkAnswer compares an answer with the tasks that the targets started and ended.
-func (t *Tally) checkAnswer(sub *Submission, answer *shallotrouter.Answer) {
+func (t *Results) checkAnswer(sub *Submission, answer *shallotrouter.Answer) {
 	started := 0
 	for _, n := range sub.startCounts {
 		started += n
@@ -107,77 +108,77 @@
 	case shallotrouter.Complete:
 		for i, ended := range sub.endedTasks {
 			if !ended {
-				t.recordViolation("complete or failed: job %d of %s is complete without task %d", sub.Number, sub.Client, i)
+				t.recordViolation("complete or failed: job %d of %s is complete without task %d", sub.TicketNumber, sub.Client, i)
 			}
 		}
-		if len(answer.Results) != len(sub.Runs) {
-			t.recordViolation("whole answers: job %d of %s has %d results", sub.Number, sub.Client, len(answer.Results))
+		if len(answer.Results) != len(sub.RunTimes) {
+			t.recordViolation("whole answers: job %d of %s has %d results", sub.TicketNumber, sub.Client, len(answer.Results))
 		}
 	case shallotrouter.Refused:
 		if started > 0 {
-			t.recordViolation("not run is true: job %d of %s was refused after %d of its tasks were started", sub.Number, sub.Client, started)
+			t.recordViolation("not run is true: job %d of %s was refused after %d of its tasks were started", sub.TicketNumber, sub.Client, started)
 		}
 	case shallotrouter.Failed, shallotrouter.Lost:
 	}
 }
 
-// Watch samples the slots of each zone at the given interval.
-func (t *Tally) Watch(interval time.Duration) {
-	t.world.After(interval, func() {
+// StartSampling samples the slots of each zone at the given interval.
+func (t *Results) StartSampling(interval time.Duration) {
+	t.simulation.Schedule(interval, func() {
 		t.sampleSlots(interval)
-		t.Watch(interval)
+		t.StartSampling(interval)
 	})
 }
 
-func (t *Tally) sampleSlots(interval time.Duration) {
-	w := t.world
-	for z := range w.Zones {
+func (t *Results) sampleSlots(interval time.Duration) {
+	sim := t.simulation
+	for z := range sim.Zones {
 		zone := fmt.Sprintf("z%d", z)
 		free, waiting, slots := 0, 0, 0
-		for _, b := range w.Backs {
-			if b.Zone == zone && !b.Dead && !b.Leaving && !b.Fail && b.Slow == 1 {
-				free += w.Slots - b.running
-				slots += w.Slots
+		for _, b := range sim.AllTargets {
+			if b.Zone == zone && !b.Exited && !b.Leaving && !b.FailTasks && b.SlowFactor == 1 {
+				free += sim.Slots - b.running
+				slots += sim.Slots
 			}
 		}
-		for _, n := range w.Nodes {
-			if n.Zone == zone && !n.Dead {
+		for _, n := range sim.EntryHosts {
+			if n.Zone == zone && !n.Exited {
 				waiting += n.Scheduler.WaitingTasks()
 			}
 		}
-		t.Taken += time.Duration(slots) * interval
+		t.ObservedSlotTime += time.Duration(slots) * interval
 		if waiting > 0 {
-			t.Contended += time.Duration(slots) * interval
-			t.Idle += time.Duration(min(free, waiting)) * interval
+			t.ContendedSlotTime += time.Duration(slots) * interval
+			t.IdleSlotTime += time.Duration(min(free, waiting)) * interval
 		}
 	}
 }
 
-// Ideal returns the response time of a job on an idle deployment, or on its client's
+// IdealResponseTime returns the response time of a job on an idle deployment, or on its client's
 // fair share of a busy deployment, whichever is longer.
-func (t *Tally) Ideal(sub *Submission, clients int) time.Duration {
+func (t *Results) IdealResponseTime(sub *Submission, clients int) time.Duration {
 	longest, work := time.Duration(0), time.Duration(0)
-	for _, runTime := range sub.Runs {
+	for _, runTime := range sub.RunTimes {
 		longest = max(longest, runTime)
 		work += runTime
 	}
-	slots := float64(t.world.Targets*t.world.Slots) / float64(clients)
-	networkDelay := 2*t.world.Far + 2*t.world.Near
+	slots := float64(t.simulation.Targets*t.simulation.Slots) / float64(clients)
+	networkDelay := 2*t.simulation.ClientDelay + 2*t.simulation.IntraZoneDelay
 	return max(longest, time.Duration(float64(work)/slots)) + networkDelay
 }
 
 // Slowdowns returns the sorted slowdowns of a client's complete jobs that were
 // submitted from one time until another; an empty client means all clients.
-func (t *Tally) Slowdowns(client string, clients int, from, to time.Duration) []float64 {
+func (t *Results) Slowdowns(client string, clients int, from, to time.Duration) []float64 {
 	var list []float64
 	for _, sub := range t.Submissions {
-		if client != "" && sub.Client != client || sub.At.Before(epoch.Add(from)) || !sub.At.Before(epoch.Add(to)) {
+		if client != "" && sub.Client != client || sub.SubmittedAt.Before(epoch.Add(from)) || !sub.SubmittedAt.Before(epoch.Add(to)) {
 			continue
 		}
 		if sub.Answer == nil || sub.Answer.Outcome != shallotrouter.Complete {
 			continue
 		}
-		list = append(list, sub.Ended.Sub(sub.At).Seconds()/t.Ideal(sub, clients).Seconds())
+		list = append(list, sub.AnsweredAt.Sub(sub.SubmittedAt).Seconds()/t.IdealResponseTime(sub, clients).Seconds())
 	}
 	slices.Sort(list)
 	return list
@@ -185,9 +186,9 @@
 
 // Outcomes counts by outcome the jobs that were submitted from one time until
 // another. A job without an answer counts as open, a lost job as failed.
-func (t *Tally) Outcomes(from, to time.Duration) (complete, failed, refused, open int) {
+func (t *Results) Outcomes(from, to time.Duration) (complete, failed, refused, open int) {
 	for _, sub := range t.Submissions {
-		if sub.At.Before(epoch.Add(from)) || !sub.At.Before(epoch.Add(to)) {
+		if sub.SubmittedAt.Before(epoch.Add(from)) || !sub.SubmittedAt.Before(epoch.Add(to)) {
 			continue
 		}
 		switch {
@@ -204,9 +205,9 @@
 	return complete, failed, refused, open
 }
 
-// Jain returns the lowest Jain fairness index of the clients' slot time over their
+// MinJainIndex returns the lowest Jain fairness index of the clients' slot time over their
 // weights in any window of the given length between two times.
-func (t *Tally) Jain(clients []string, weights []float64, window, from, to time.Duration) float64 {
+func (t *Results) MinJainIndex(clients []string, weights []float64, window, from, to time.Duration) float64 {
 	minIndex := 1.0
 	for start := from; start+window <= to; start += window / 5 {
 		sum, squares := 0.0, 0.0
@@ -221,7 +222,7 @@
 }
 
 // usedBetween returns the slot time that a client used between two times.
-func (t *Tally) usedBetween(client string, from, to time.Time) time.Duration {
+func (t *Results) usedBetween(client string, from, to time.Time) time.Duration {
 	var total time.Duration
 	for _, u := range t.usages {
 		if u.client != client {
--- a/internal/bencher/workload.go
+++ b/internal/bencher/workload.go
@@ -8,55 +8,57 @@
 	"github.com/shallotrouter/shallotrouter"
 )
 
-// Class is a class of jobs of one kind.
-type Class struct {
+// JobClass is a class of jobs of one kind.
+type JobClass struct {
 	Kind string
-	// Part is the share of a client's jobs that belong to this class.
-	Part float64
-	// Least and Most are the bounds of the number of tasks, which is log-uniform.
-	Least, Most int
-	// Short and Long are the bounds of the ordinary run time, which is log-uniform.
-	Short, Long time.Duration
-	// Tail is the share of the tasks that run for Longer instead.
-	Tail   float64
-	Longer time.Duration
+	// Share is the share of a client's jobs that belong to this class.
+	Share float64
+	// MinTasks and MaxTasks are the bounds of the number of tasks, which is log-uniform.
+	MinTasks, MaxTasks int
+	// MinRunTime and MaxRunTime are the bounds of the ordinary run time, which is
+	// log-uniform.
+	MinRunTime, MaxRunTime time.Duration
+	// LongTaskShare is the share of the tasks that run for LongTaskRunTime
+	// instead.
+	LongTaskShare   float64
+	LongTaskRunTime time.Duration
 }
 
-// Usual returns the classes of an ordinary day: many quick confirmations, some
+// OrdinaryClasses returns the classes of an ordinary day: many quick confirmations, some
 // checks and few manifests. Some tasks of the manifests run for several seconds.
-func Usual() []Class {
-	return []Class{
-		{Kind: "confirm", Part: 0.6, Least: 1, Most: 3, Short: 50 * time.Millisecond, Long: 150 * time.Millisecond},
-		{Kind: "check", Part: 0.37, Least: 2, Most: 16, Short: 100 * time.Millisecond, Long: 500 * time.Millisecond},
-		{Kind: "manifest", Part: 0.03, Least: 20, Most: 460, Short: 50 * time.Millisecond, Long: time.Second, Tail: 0.01, Longer: 4 * time.Second},
+func OrdinaryClasses() []JobClass {
+	return []JobClass{
+		{Kind: "confirm", Share: 0.6, MinTasks: 1, MaxTasks: 3, MinRunTime: 50 * time.Millisecond, MaxRunTime: 150 * time.Millisecond},
+		{Kind: "check", Share: 0.37, MinTasks: 2, MaxTasks: 16, MinRunTime: 100 * time.Millisecond, MaxRunTime: 500 * time.Millisecond},
+		{Kind: "manifest", Share: 0.03, MinTasks: 20, MaxTasks: 460, MinRunTime: 50 * time.Millisecond, MaxRunTime: time.Second, LongTaskShare: 0.01, LongTaskRunTime: 4 * time.Second},
 	}
 }
 
-// Small returns the class of a client whose jobs have few short tasks.
-func Small() []Class {
-	return []Class{{Kind: "confirm", Part: 1, Least: 1, Most: 4, Short: 50 * time.Millisecond, Long: time.Second}}
+// SmallClasses returns the class of a client whose jobs have few short tasks.
+func SmallClasses() []JobClass {
+	return []JobClass{{Kind: "confirm", Share: 1, MinTasks: 1, MaxTasks: 4, MinRunTime: 50 * time.Millisecond, MaxRunTime: time.Second}}
 }
 
-// Heavy returns the class of a client with large jobs.
-func Heavy() []Class {
-	return []Class{{Kind: "manifest", Part: 1, Least: 50, Most: 460, Short: 50 * time.Millisecond, Long: time.Second, Tail: 0.01, Longer: 4 * time.Second}}
+// HeavyClasses returns the class of a client with large jobs.
+func HeavyClasses() []JobClass {
+	return []JobClass{{Kind: "manifest", Share: 1, MinTasks: 50, MaxTasks: 460, MinRunTime: 50 * time.Millisecond, MaxRunTime: time.Second, LongTaskShare: 0.01, LongTaskRunTime: 4 * time.Second}}
 }
 
 // maxEstimateError is the maximum factor by which a declared run time deviates from
 // the actual run time.
 const maxEstimateError = 10
 
-// Draw returns a random job of one of the classes, with the actual run times of its
+// RandomJob returns a random job of one of the classes, with the actual run times of its
 // tasks.
-func Draw(r *rand.Rand, classes []Class, deadline time.Duration) (shallotrouter.Job, []time.Duration) {
+func RandomJob(r *rand.Rand, classes []JobClass, deadline time.Duration) (shallotrouter.Job, []time.Duration) {
 	c := pickClass(r, classes)
-	n := int(logUniform(r, float64(c.Least), float64(c.Most+1)))
+	n := int(logUniform(r, float64(c.MinTasks), float64(c.MaxTasks+1)))
 	job := shallotrouter.Job{Service: Service, Deadline: shallotrouter.Duration(deadline)}
 	runTimes := make([]time.Duration, n)
 	for i := range runTimes {
-		runTimes[i] = time.Duration(logUniform(r, float64(c.Short), float64(c.Long)))
-		if r.Float64() < c.Tail {
-			runTimes[i] = c.Longer
+		runTimes[i] = time.Duration(logUniform(r, float64(c.MinRunTime), float64(c.MaxRunTime)))
+		if r.Float64() < c.LongTaskShare {
+			runTimes[i] = c.LongTaskRunTime
 		}
 		declared := time.Duration(float64(runTimes[i]) * logUniform(r, 1.0/maxEstimateError, maxEstimateError))
 		job.Tasks = append(job.Tasks, shallotrouter.Task{Kind: c.Kind, Expect: shallotrouter.Duration(declared)})
@@ -64,10 +66,10 @@
 	return job, runTimes
 }
 
-func pickClass(r *rand.Rand, classes []Class) Class {
+func pickClass(r *rand.Rand, classes []JobClass) JobClass {
 	x := r.Float64()
 	for _, c := range classes {
-		if x -= c.Part; x < 0 {
+		if x -= c.Share; x < 0 {
 			return c
 		}
 	}
@@ -79,12 +81,12 @@
 }
 
 // meanWork returns the mean slot time that a job of the classes takes.
-func meanWork(classes []Class) time.Duration {
+func meanWork(classes []JobClass) time.Duration {
 	const samples = 20_000
 	r := rand.New(rand.NewPCG(1, 1))
 	var total time.Duration
 	for range samples {
-		_, runTimes := Draw(r, classes, time.Second)
+		_, runTimes := RandomJob(r, classes, time.Second)
 		for _, runTime := range runTimes {
 			total += runTime
 		}
@@ -92,38 +94,38 @@
 	return total / samples
 }
 
-// Source is a client that submits jobs at random times, as a Poisson process.
-type Source struct {
+// JobSource is a client that submits jobs at random times, as a Poisson process.
+type JobSource struct {
 	Client  string
-	Classes []Class
+	Classes []JobClass
 	// Load is the client's mean demand, in slots.
 	Load float64
 	// Deadline is the deadline of each job.
 	Deadline time.Duration
-	// Land chooses the entry host of a job; nil means a uniformly random host.
-	Land func(r *rand.Rand, nodes []*Node) *Node
-	// Poison makes every task of the client fail.
-	Poison bool
+	// PickHost chooses the entry host of a job; nil means a uniformly random host.
+	PickHost func(r *rand.Rand, nodes []*EntryHost) *EntryHost
+	// AlwaysFails makes every task of the client fail.
+	AlwaysFails bool
 }
 
-// Play submits the jobs of the source from now on until the simulation ends.
-func (w *World) Play(s Source) {
+// AddSource submits the jobs of the source from now on until the simulation ends.
+func (sim *Simulation) AddSource(s JobSource) {
 	meanInterval := meanWork(s.Classes).Seconds() / s.Load
-	w.scheduleNextJob(s, meanInterval)
+	sim.scheduleNextJob(s, meanInterval)
 }
 
-func (w *World) scheduleNextJob(s Source, meanInterval float64) {
-	delay := time.Duration(w.Random.ExpFloat64() * meanInterval * float64(time.Second))
-	w.After(delay, func() {
-		job, runs := Draw(w.Random, s.Classes, s.Deadline)
-		w.Submit(w.pickHost(s), s.Client, job, runs).Poison = s.Poison
-		w.scheduleNextJob(s, meanInterval)
+func (sim *Simulation) scheduleNextJob(s JobSource, meanInterval float64) {
+	delay := time.Duration(sim.Random.ExpFloat64() * meanInterval * float64(time.Second))
+	sim.Schedule(delay, func() {
+		job, runs := RandomJob(sim.Random, s.Classes, s.Deadline)
+		sim.Submit(sim.pickHost(s), s.Client, job, runs).AlwaysFails = s.AlwaysFails
+		sim.scheduleNextJob(s, meanInterval)
 	})
 }
 
-func (w *World) pickHost(s Source) *Node {
-	if s.Land != nil {
-		return s.Land(w.Random, w.Nodes)
+func (sim *Simulation) pickHost(s JobSource) *EntryHost {
+	if s.PickHost != nil {
+		return s.PickHost(sim.Random, sim.EntryHosts)
 	}
-	return w.Nodes[w.Random.IntN(len(w.Nodes))]
+	return sim.EntryHosts[sim.Random.IntN(len(sim.EntryHosts))]
 }
--- a/internal/faker/pair.go
+++ b/internal/faker/pair.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// WritePair writes a self-signed certificate for 127.0.0.1, valid for an hour, and its
+// WriteKeyPair writes a self-signed certificate for 127.0.0.1, valid for an hour, and its
 // private key to a folder. It returns the paths of both files.
-func WritePair(dir string, serial int64) (certificate, key string, err error) {
+func WriteKeyPair(dir string, serial int64) (certificate, key string, err error) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
--- a/internal/faker/platform.go
+++ b/internal/faker/platform.go
@@ -14,26 +14,26 @@
 	"github.com/shallotrouter/shallotrouter/internal/scheduler"
 )
 
-// Faults are the faults that are injected into a Platform.
-type Faults struct {
+// PlatformFaults are the faults that are injected into a Platform.
+type PlatformFaults struct {
 	// Outage makes every request fail with status 503.
 	Outage bool `json:"outage"`
 	// Delay is added to the response time of every request.
 	Delay time.Duration `json:"delay"`
-	// Lose is the number of writes that take effect but whose answer is lost.
-	Lose int `json:"lose"`
-	// Stale is the number of reads that return the version before the newest.
-	Stale int `json:"stale"`
+	// LostAnswers is the number of writes that take effect but whose answer is lost.
+	LostAnswers int `json:"lose"`
+	// StaleReads is the number of reads that return the version before the newest.
+	StaleReads int `json:"stale"`
 }
 
 // Platform is a stand-in for the platform. Its zero value is ready to use. It is safe
 // for concurrent use.
 type Platform struct {
-	// Lag is the delay until a change of the host list becomes visible.
-	Lag time.Duration
+	// DirectoryDelay is the delay until a change of the host list becomes visible.
+	DirectoryDelay time.Duration
 
 	mutex                sync.Mutex
-	faults               Faults
+	faults               PlatformFaults
 	rows                 map[string][]row
 	directories          map[string]scheduler.Directory
 	pendingDirectories   []pendingDirectory
@@ -66,25 +66,25 @@
 	return mux
 }
 
-// Set replaces the injected faults.
-func (p *Platform) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = f
 }
 
-// List sets the host list of a zone. The list becomes visible after the delay of the
+// SetHosts sets the host list of a zone. The list becomes visible after the delay of the
 // platform.
-func (p *Platform) List(zone string, hosts []scheduler.Host) {
+func (p *Platform) SetHosts(zone string, hosts []scheduler.Host) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.lastDirectoryVersion++
 	d := scheduler.Directory{Version: p.lastDirectoryVersion, Zone: zone, Hosts: hosts}
-	p.pendingDirectories = append(p.pendingDirectories, pendingDirectory{visibleAt: time.Now().Add(p.Lag), directory: d})
+	p.pendingDirectories = append(p.pendingDirectories, pendingDirectory{visibleAt: time.Now().Add(p.DirectoryDelay), directory: d})
 }
 
-// Counts returns the numbers of read and write requests received.
-func (p *Platform) Counts() (reads, writes int) {
+// RequestCounts returns the numbers of read and write requests received.
+func (p *Platform) RequestCounts() (reads, writes int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.reads, p.writes
@@ -122,8 +122,8 @@
 		return
 	}
 	shown := versions[len(versions)-1]
-	if p.faults.Stale > 0 && len(versions) > 1 {
-		p.faults.Stale--
+	if p.faults.StaleReads > 0 && len(versions) > 1 {
+		p.faults.StaleReads--
 		shown = versions[len(versions)-2]
 	}
 	writeValue(w, r, shown.version, shown.value)
@@ -162,8 +162,8 @@
 		return
 	}
 	p.rows[key] = append(p.rows[key], row{version: current + 1, value: value})
-	if p.faults.Lose > 0 {
-		p.faults.Lose--
+	if p.faults.LostAnswers > 0 {
+		p.faults.LostAnswers--
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Version", strconv.FormatUint(current+1, 10))
@@ -199,20 +199,20 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.List(d.Zone, d.Hosts)
+	p.SetHosts(d.Zone, d.Hosts)
 }
 
 func (p *Platform) handleSetFaults(w http.ResponseWriter, r *http.Request) {
-	var f Faults
+	var f PlatformFaults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.Set(f)
+	p.SetFaults(f)
 }
 
-// Store writes a row without a check of its version.
-func (p *Platform) Store(key string, value []byte) {
+// WriteRow writes a row without a check of its version.
+func (p *Platform) WriteRow(key string, value []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.rows == nil {
--- a/internal/faker/target.go
+++ b/internal/faker/target.go
@@ -13,42 +13,42 @@
 
 // Work is the payload that controls a task at a Target. Any other payload is echoed.
 type Work struct {
-	// Run is the run time of the task.
-	Run time.Duration `json:"run"`
-	// Echo is the result of the task.
-	Echo string `json:"echo"`
+	// RunTime is the run time of the task.
+	RunTime time.Duration `json:"run"`
+	// Result is the result of the task.
+	Result string `json:"echo"`
 	// Fail makes the task fail.
 	Fail bool `json:"fail"`
 }
 
-// Trouble holds the faults that are injected into a Target.
-type Trouble struct {
-	// Fail makes every task fail.
-	Fail bool `json:"fail"`
-	// Slow multiplies the run times of the tasks if it is above 1.
-	Slow float64 `json:"slow"`
+// TargetFaults holds the faults that are injected into a Target.
+type TargetFaults struct {
+	// FailTasks makes every task fail.
+	FailTasks bool `json:"fail"`
+	// SlowFactor multiplies the run times of the tasks if it is above 1.
+	SlowFactor float64 `json:"slow"`
 	// Leaving refuses every task with the reason "leaving".
 	Leaving bool `json:"leaving"`
-	// Cut closes the connection instead of answering.
-	Cut bool `json:"cut"`
-	// Truncate sends half of each result.
-	Truncate bool `json:"truncate"`
-	// Mislabel answers with the name of another task.
-	Mislabel bool `json:"mislabel"`
-	// Silent starts the task but never answers.
-	Silent bool `json:"silent"`
+	// CloseConnection closes the connection instead of answering.
+	CloseConnection bool `json:"cut"`
+	// TruncateResult sends half of each result.
+	TruncateResult bool `json:"truncate"`
+	// WrongTaskName answers with the name of another task.
+	WrongTaskName bool `json:"mislabel"`
+	// NeverAnswer starts the task but never answers.
+	NeverAnswer bool `json:"silent"`
 }
 
-// Counts holds the counters of a Target.
-type Counts struct {
+// TargetCounts holds the counters of a Target.
+type TargetCounts struct {
 	// Starts is the number of starts by the name of the task.
 	Starts map[string]int `json:"starts"`
-	// Most is the maximum number of tasks that ran at once.
-	Most int `json:"most"`
-	// Late counts the tasks that were refused because their start-by time had
-	// passed, Left those that were refused because the target is leaving.
-	Late int `json:"late"`
-	Left int `json:"left"`
+	// MaxRunning is the maximum number of tasks that ran at once.
+	MaxRunning int `json:"most"`
+	// RefusedLate counts the tasks that were refused because their start-by time had
+	// passed, RefusedLeaving those that were refused because the target is leaving.
+	RefusedLate    int `json:"late"`
+	RefusedLeaving int `json:"left"`
 }
 
 // Target is a stand-in for a target. Call Handler once; afterwards it is safe for
@@ -60,8 +60,8 @@
 	mutex     sync.Mutex
 	freeSlots chan struct{} // holds one token per free slot
 	running   int
-	faults    Trouble
-	counts    Counts
+	faults    TargetFaults
+	counts    TargetCounts
 }
 
 // Handler returns the target's HTTP interface: POST /run, and for tests GET
@@ -79,15 +79,15 @@
 	return mux
 }
 
-// Set replaces the injected faults.
-func (t *Target) Set(faults Trouble) {
+// SetFaults replaces the injected faults.
+func (t *Target) SetFaults(faults TargetFaults) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.faults = faults
 }
 
 // Counts returns a copy of the counters.
-func (t *Target) Counts() Counts {
+func (t *Target) Counts() TargetCounts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	c := t.counts
@@ -113,7 +113,7 @@
 		return
 	}
 	faults := t.recordStart(name)
-	work := Work{Echo: string(payload)}
+	work := Work{Result: string(payload)}
 	_ = json.Unmarshal(payload, &work) // any other payload is echoed unchanged
 	t.execute(r, work, faults)
 	t.releaseSlot()
@@ -128,11 +128,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.faults.Leaving {
-		t.counts.Left++
+		t.counts.RefusedLeaving++
 		return "leaving"
 	}
 	if err != nil || timeLeft <= 0 {
-		t.counts.Late++
+		t.counts.RefusedLate++
 		return "late"
 	}
 	t.mutex.Unlock()
@@ -147,18 +147,18 @@
 	}
 	t.mutex.Lock()
 	if !hasSlot {
-		t.counts.Late++
+		t.counts.RefusedLate++
 		return "late"
 	}
 	return ""
 }
 
 // recordStart counts a start and returns the faults that apply to it.
-func (t *Target) recordStart(name string) Trouble {
+func (t *Target) recordStart(name string) TargetFaults {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.running++
-	t.counts.Most = max(t.counts.Most, t.running)
+	t.counts.MaxRunning = max(t.counts.MaxRunning, t.running)
 	t.counts.Starts[name]++
 	return t.faults
 }
@@ -171,35 +171,35 @@
 	t.freeSlots <- struct{}{}
 }
 
-// execute sleeps for the run time of the task. With the fault Silent it waits until
+// execute sleeps for the run time of the task. With the fault NeverAnswer it waits until
 // the caller disconnects.
-func (t *Target) execute(r *http.Request, work Work, faults Trouble) {
-	if faults.Silent {
+func (t *Target) execute(r *http.Request, work Work, faults TargetFaults) {
+	if faults.NeverAnswer {
 		<-r.Context().Done()
 		return
 	}
-	if faults.Fail {
+	if faults.FailTasks {
 		return
 	}
-	time.Sleep(time.Duration(float64(work.Run) * max(1, faults.Slow)))
+	time.Sleep(time.Duration(float64(work.RunTime) * max(1, faults.SlowFactor)))
 }
 
-func (t *Target) sendResult(w http.ResponseWriter, name string, work Work, faults Trouble) {
-	if faults.Cut {
+func (t *Target) sendResult(w http.ResponseWriter, name string, work Work, faults TargetFaults) {
+	if faults.CloseConnection {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.Mislabel {
+	if faults.WrongTaskName {
 		name += "x"
 	}
 	w.Header().Set(dispatcher.HeaderTask, name)
-	if work.Fail || faults.Fail {
+	if work.Fail || faults.FailTasks {
 		http.Error(w, "task failed", http.StatusInternalServerError)
 		return
 	}
-	if faults.Truncate {
-		w.Header().Set("Content-Length", strconv.Itoa(len(work.Echo)+1))
+	if faults.TruncateResult {
+		w.Header().Set("Content-Length", strconv.Itoa(len(work.Result)+1))
 	}
-	_, _ = io.WriteString(w, work.Echo) // the caller has disconnected
+	_, _ = io.WriteString(w, work.Result) // the caller has disconnected
 }
 
 func (t *Target) handleCounts(w http.ResponseWriter, _ *http.Request) {
@@ -207,10 +207,10 @@
 }
 
 func (t *Target) handleSetTrouble(w http.ResponseWriter, r *http.Request) {
-	var faults Trouble
+	var faults TargetFaults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.Set(faults)
+	t.SetFaults(faults)
 }
--- a/internal/loader/keys_test.go
+++ b/internal/loader/keys_test.go
@@ -18,7 +18,7 @@
 
 // writePair writes a certificate and its key to dir and returns their paths.
 func writePair(t *testing.T, dir string, serial int64) (certificate, key string) {
-	certificate, key, err := faker.WritePair(dir, serial)
+	certificate, key, err := faker.WriteKeyPair(dir, serial)
 	require.NoError(t, err)
 	return certificate, key
 }
--- a/internal/operator/race_test.go
+++ b/internal/operator/race_test.go
@@ -110,10 +110,10 @@
 		go r.run(t.Context(), &racing)
 	}
 	for i := range 20 { // faults change while the operators run
-		s.Platform.Set(faker.Faults{Lose: 1 + i%2, Stale: i % 3, Outage: i%7 == 6, Delay: time.Duration(i%4) * 5 * time.Millisecond})
+		s.Platform.SetFaults(faker.PlatformFaults{LostAnswers: 1 + i%2, StaleReads: i % 3, Outage: i%7 == 6, Delay: time.Duration(i%4) * 5 * time.Millisecond})
 		<-time.After(50 * time.Millisecond)
 	}
-	s.Platform.Set(faker.Faults{})
+	s.Platform.SetFaults(faker.PlatformFaults{})
 	racing.Wait()
 	after, value := s.Platform.Row(storer.ConfigKey)
 	accepted, unsettled := 0, 0
--- a/internal/stager/stage.go
+++ b/internal/stager/stage.go
@@ -169,7 +169,7 @@
 			hosts = append(hosts, scheduler.Host{Name: n.Name, Role: scheduler.Entry, Address: n.Address})
 		}
 	}
-	s.Platform.List(zone, hosts)
+	s.Platform.SetHosts(zone, hosts)
 }
 
 // serve starts a server on a free loopback port and returns its address.
