--- a/internal/bencher/scenario.go
+++ b/internal/bencher/scenario.go
@@ -207,9 +207,8 @@
 }
 
 // MeasureUnhealthyTargets measures well-behaved clients while one target in ten is
-// unhealthy. The fault
-// is injected after the warm-up, and jobs that are submitted within the settling time
-// after it are not counted.
+// unhealthy. The fault is injected after the warm-up, and jobs that are submitted within
+// the settling time after it are not counted.
 func MeasureUnhealthyTargets(p Deployment, clients int, seed uint64, duration, settlingTime time.Duration, injectFault func(*Target)) Measurements {
 	sim := New(p, seed)
 	for i := range clients {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -123,7 +123,7 @@
 	}
 	candidates := r.candidates(c.zone)
 	rank := slices.IndexFunc(candidates, func(m Member) bool { return m.Address == r.Self.Address })
-	if rank < 0 || !r.hasFreshView() || !r.hasMajority(c.zone) && !r.isLongHolderless(c) {
+	if rank < 0 || !r.hasRecentView() || !r.hasMajority(c.zone) && !r.isLongHolderless(c) {
 		return false
 	}
 	if !c.holderlessSince.IsZero() {
@@ -132,9 +132,9 @@
 	return r.shouldMerge(c, candidates)
 }
 
-// hasFreshView reports whether this host's view of the other hosts of its cells is
+// hasRecentView reports whether this host's view of the other hosts of its cells is
 // recent enough to tell which side of a network partition it is on.
-func (r *Router) hasFreshView() bool {
+func (r *Router) hasRecentView() bool {
 	if !r.fullMesh && !r.hubs[r.Self.Address] {
 		return false
 	}
@@ -156,7 +156,7 @@
 func (r *Router) mayHolderReturn(c *cell) bool {
 	holder := c.claim.Holder
 	wait := r.Bounds.PeerTimeout
-	if c.claimReceivedAt.Sub(r.startedAt) < r.Bounds.StartupDelay && r.isNoHolderReached() {
+	if c.claimReceivedAt.Sub(r.startedAt) < r.Bounds.StartupDelay && r.hasNoPeerReachingHolder() {
 		wait /= 4 // a running holder would have answered one of the reached peers by now
 	}
 	if r.now.Sub(c.claimReceivedAt) >= wait || r.isLeaving(holder) || holder.Address == r.Self.Address {
@@ -166,10 +166,10 @@
 	return p == nil || !p.wasReachable || p.member.Incarnation <= holder.Incarnation
 }
 
-// isNoHolderReached reports whether at least one monitored peer is reachable and none
+// hasNoPeerReachingHolder reports whether at least one monitored peer is reachable and none
 // of these peers reaches its holder. Then either all hosts have just started or the
 // holder is unresponsive.
-func (r *Router) isNoHolderReached() bool {
+func (r *Router) hasNoPeerReachingHolder() bool {
 	noPeerReachable := true
 	for _, p := range r.peers {
 		if p.monitored && r.isReachable(p) {
--- a/internal/router/claim_test.go
+++ b/internal/router/claim_test.go
@@ -67,10 +67,10 @@
 	return zones
 }
 
-// TestSmallerSideOfCutClaimsOnlyOwnZone: the heartbeats of the hosts behind a partition
+// TestSmallerSideOfPartitionClaimsOnlyOwnZone: the heartbeats of the hosts behind a partition
 // stop at different times, so the smaller side may at first appear to be the larger
 // one. It must not hold more than the cell of its own zone in the end.
-func TestSmallerSideOfCutClaimsOnlyOwnZone(t *testing.T) {
+func TestSmallerSideOfPartitionClaimsOnlyOwnZone(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.advanceWithHeartbeats(80*time.Millisecond, "n2", "n3", "s2", "w1", "w2") // the holder's heartbeats stop first
 	require.NotEmpty(t, effectsOf[WriteClaims](b.advanceWithHeartbeats(b.router.Bounds.PeerTimeout, "n2", "n3")))
@@ -78,9 +78,9 @@
 	assert.Equal(t, []string{"north"}, b.heldZones())
 }
 
-// TestLargerSideOfCutClaimsWithoutStore: a host that reaches most other hosts must take
+// TestLargerSideOfPartitionClaimsWithoutStore: a host that reaches most other hosts must take
 // over the cells even if the store does not answer.
-func TestLargerSideOfCutClaimsWithoutStore(t *testing.T) {
+func TestLargerSideOfPartitionClaimsWithoutStore(t *testing.T) {
 	b := newClusterBed(t, "n2", "n3", "s1", "s2", "w1", "w2")
 	b.advanceWithHeartbeats(b.router.Bounds.PeerTimeout+b.router.Bounds.TickInterval+claimTimeout, "n2", "n3", "s2", "w1", "w2")
 	b.advanceWithHeartbeats(2*b.router.Bounds.TickInterval, "n2", "n3", "s2", "w1", "w2")
--- a/internal/router/holder_test.go
+++ b/internal/router/holder_test.go
@@ -395,10 +395,10 @@
 	assert.False(t, b.router.isUsable(target))
 }
 
-// TestUnlistedTargetsAreRetainedAfterCut: a holder that was partitioned off with its
+// TestUnlistedTargetsAreRetainedAfterPartition: a holder that was partitioned off with its
 // targets must keep using them when it reaches other hosts again whose directory lacks
 // them, but only for a limited time.
-func TestUnlistedTargetsAreRetainedAfterCut(t *testing.T) {
+func TestUnlistedTargetsAreRetainedAfterPartition(t *testing.T) {
 	b := newHolderBed(t, 3, ClaimWon)
 	peer := Member{Name: "b", Zone: "south", Address: "10.0.0.2:1", Incarnation: 1, Slot: 1}
 	b.step(DirectoryReadFailed{})
--- a/internal/router/learn.go
+++ b/internal/router/learn.go
@@ -193,8 +193,8 @@
 	return t.Labels[0]
 }
 
-// routes exports the learned state, for other hosts and for the store.
-func (r *Router) routes() ([]RouteStats, []KindSpeed) {
+// exportLearnedState exports the learned state, for other hosts and for the store.
+func (r *Router) exportLearnedState() ([]RouteStats, []KindSpeed) {
 	var routes []RouteStats
 	for _, route := range sortedKeys(r.routeModels) {
 		model := r.routeModels[route]
@@ -227,7 +227,7 @@
 		return
 	}
 	r.learnedStateSavedAt = r.now
-	routes, speeds := r.routes()
+	routes, speeds := r.exportLearnedState()
 	slices.SortStableFunc(routes, func(a, b RouteStats) int { return cmp.Compare(b.Count, a.Count) })
 	r.emit(SaveLearnedState{Routes: routes[:min(len(routes), maxSavedRoutes)], Speeds: speeds})
 }
--- a/internal/router/near.go
+++ b/internal/router/near.go
@@ -167,7 +167,7 @@
 	heartbeat := r.newHeartbeat()
 	if r.holdsAnyCell() && r.now.Sub(r.learnedStateSentAt) >= learnedStateInterval {
 		r.learnedStateSentAt = r.now
-		heartbeat.Routes, heartbeat.Speeds = r.routes()
+		heartbeat.Routes, heartbeat.Speeds = r.exportLearnedState()
 	}
 	claims := r.knownClaims()
 	for _, p := range r.sortedPeers() {
