--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -130,7 +130,7 @@
 	work := j.pendingWork() * queuePackingRatio / ownPackingRatio
 	ahead := 0
 	for _, other := range r.queue.Items() {
-		if other.spec.Service == j.spec.Service && r.isPlacedBefore(other, j) && !r.isQuarantined(other) {
+		if other.spec.Service == j.spec.Service && r.isPlacedBefore(other, j) && !r.cannotStartYet(other) {
 			ahead += other.waitingCount
 			work += other.pendingWork()
 		}
--- a/internal/router/cell.go
+++ b/internal/router/cell.go
@@ -163,7 +163,7 @@
 	r.offerAllRequests()
 }
 
-// dropLostJobs drops the jobs of cells that were lost at least lostJobsDropDelay ago.
+// dropLostJobs ends the jobs of cells that were lost at least lostJobsDropDelay ago.
 // The delay lets the claims of all cells arrive: if the next holder has claimed all of
 // them, it adopts the runs and none needs to be stopped.
 func (r *Router) dropLostJobs() {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -13,9 +13,8 @@
 }
 
 const (
-	// claimTimeout bounds the wait for the store. The store usually answers in 12 to 16
-	// ms; clients accept 1 s without a holder, of which the timeout takes about a
-	// twentieth.
+	// claimTimeout bounds the wait for the store, which usually answers in 12 to 16 ms.
+	// Clients accept 1 s without a holder; the timeout takes 6 % of that.
 	claimTimeout = 60 * time.Millisecond
 	// maxBackoffFactor bounds the delay between claims, as a multiple of
 	// Bounds.ClaimBackoff.
@@ -37,7 +36,7 @@
 			candidates = append(candidates, p.member)
 		}
 	}
-	if r.zonesSplit {
+	if r.holderPerZone {
 		candidates = slices.DeleteFunc(candidates, func(m Member) bool { return m.Zone != zone })
 	}
 	slices.SortFunc(candidates, compareCandidates)
@@ -48,23 +47,25 @@
 // kilobits a second. It covers eight starts a second, of 1 KB each, with their answers.
 const targetTrafficKbps = 100
 
-// updateZonesSplit decides whether each zone has a holder of its own. This is so if the
-// processor or half of the link of one host does not suffice for all targets.
-func (r *Router) updateZonesSplit() {
+// updateHolderPerZone decides whether each zone has a holder of its own, because one
+// host cannot manage all targets. This is so if the targets exceed
+// Bounds.MaxSharedTargets, the bound for the processor of a host, or if their traffic
+// exceeds half of the fastest host's link.
+func (r *Router) updateHolderPerZone() {
 	r.maxLinkRate = max(r.maxLinkRate, r.Self.LinkRate)
 	for _, p := range r.peers {
 		r.maxLinkRate = max(r.maxLinkRate, p.member.LinkRate)
 	}
-	r.zonesSplit = r.totalTargets > r.Bounds.MaxSharedTargets || r.maxLinkRate > 0 && r.totalTargets > r.maxLinkRate/(2*targetTrafficKbps)
+	r.holderPerZone = r.totalTargets > r.Bounds.MaxSharedTargets || r.maxLinkRate > 0 && r.totalTargets > r.maxLinkRate/(2*targetTrafficKbps)
 }
 
 // updateTotalTargets records the number of targets in a version of the directory. Hosts
-// that do not receive the directory itself use the number to agree on whether zones are
-// split.
+// that do not receive the directory itself use the number to agree on whether each zone
+// has a holder of its own.
 func (r *Router) updateTotalTargets(version uint64, total int) {
 	if version > r.totalTargetsVersion {
 		r.totalTargetsVersion, r.totalTargets = version, total
-		r.updateZonesSplit()
+		r.updateHolderPerZone()
 	}
 }
 
@@ -90,9 +91,10 @@
 }
 
 // startupClaimDelay returns how long after its start this host waits for messages of
-// existing holders before it claims cells. The delay is zero if every cell has a claim
-// whose holder cannot return, for instance because it is known to have exited. A weak
-// host waits a little even then, since stronger hosts may be starting as well.
+// existing holders before it claims cells: Bounds.StartupDelay while a cell has no claim
+// or its holder may still return. If every cell has a claim whose holder cannot return,
+// for instance because it is known to have exited, the delay is zero, or a quarter of
+// Bounds.StartupDelay if a much stronger peer is known, which may be starting as well.
 func (r *Router) startupClaimDelay() time.Duration {
 	for _, c := range r.cells {
 		if c.claim.Token == 0 || r.mayHolderReturn(c) {
@@ -139,7 +141,7 @@
 		return false
 	}
 	for _, p := range r.peers {
-		if r.sharesCells(p.member.Zone) && !p.monitored || p.monitored && p.wasReachable && !r.hasHadTimeToAnswer(p) && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout {
+		if r.sharesCells(p.member.Zone) && !p.monitored || p.monitored && p.hasBeenReachable && !r.hasHadTimeToAnswer(p) && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout {
 			return false
 		}
 	}
@@ -156,20 +158,21 @@
 func (r *Router) mayHolderReturn(c *cell) bool {
 	holder := c.claim.Holder
 	wait := r.Bounds.PeerTimeout
-	if c.claimReceivedAt.Sub(r.startedAt) < r.Bounds.StartupDelay && r.hasNoPeerReachingHolder() {
+	if c.claimReceivedAt.Sub(r.startedAt) < r.Bounds.StartupDelay && r.reachablePeersLackHolder() {
 		wait /= 4 // a running holder would have answered one of the reached peers by now
 	}
 	if r.now.Sub(c.claimReceivedAt) >= wait || r.isLeaving(holder) || holder.Address == r.Self.Address {
 		return false
 	}
 	p := r.peers[holder.Address]
-	return p == nil || !p.wasReachable || p.member.Incarnation <= holder.Incarnation
+	return p == nil || !p.hasBeenReachable || p.member.Incarnation <= holder.Incarnation
 }
 
-// hasNoPeerReachingHolder reports whether at least one monitored peer is reachable and none
-// of these peers reaches its holder. Then either all hosts have just started or the
-// holder is unresponsive.
-func (r *Router) hasNoPeerReachingHolder() bool {
+// reachablePeersLackHolder reports whether at least one monitored peer is reachable and
+// none of the reachable ones reaches a holder: each peer reports whether it reaches the
+// holder of its own zone's cell. Then either all hosts have just started or the holder
+// is unresponsive.
+func (r *Router) reachablePeersLackHolder() bool {
 	noPeerReachable := true
 	for _, p := range r.peers {
 		if p.monitored && r.isReachable(p) {
@@ -191,18 +194,18 @@
 // Bounds.MergeDelay.
 func (r *Router) shouldMerge(c *cell, candidates []Member) bool {
 	preferred := candidates[0]
-	if !r.zonesSplit {
-		holderIndex, maxCells := -1, 0
+	if !r.holderPerZone {
+		mostCellsIndex, maxCells := -1, 0
 		for i, m := range candidates {
 			if cells := r.cellsHeldBy(m); cells > maxCells {
-				holderIndex, maxCells = i, cells
+				mostCellsIndex, maxCells = i, cells
 			}
 		}
-		if holderIndex < 0 {
+		if mostCellsIndex < 0 {
 			return false
 		}
-		if !hasMuchLessCPU(candidates[holderIndex], preferred) {
-			preferred = candidates[holderIndex]
+		if !hasMuchLessCPU(candidates[mostCellsIndex], preferred) {
+			preferred = candidates[mostCellsIndex]
 		}
 	} else if c.claim.Holder.Zone == c.zone && !hasMuchLessCPU(c.claim.Holder, preferred) {
 		return false // the holder belongs to the zone and is strong enough
@@ -237,11 +240,15 @@
 }
 
 // hasMajority reports whether this host is on the side of a network partition that
-// should serve a zone: the side with most of the zone's hosts, or with most of all
-// hosts. A tie within the zone counts if the side has at least half of all hosts.
+// should serve a zone: the side with most of the zone's known hosts, or with most of all
+// known hosts. Half of the zone's hosts suffice if the side has at least half of all
+// known hosts. The known hosts are this host and the peers that share cells with it,
+// have been reachable in their present incarnation and have neither exited nor shut
+// down. If two or more of them are unreachable, the peers that have shut down count as
+// known hosts too, but not for the zone.
 func (r *Router) hasMajority(zone string) bool {
-	zoneHosts, reachableZoneHosts, allHosts, reachableHosts := 0, 0, 1, 1
-	leftHosts, unreachableHosts := 0, 0
+	zoneHosts, reachableZoneHosts, knownHosts, reachableHosts := 0, 0, 1, 1
+	departedHosts, unreachableHosts := 0, 0
 	if r.Self.Zone == zone {
 		zoneHosts, reachableZoneHosts = 1, 1
 	}
@@ -250,24 +257,24 @@
 			continue
 		}
 		if p.leaving && !r.isReachable(p) {
-			leftHosts++
-			continue // it has shut down, so its absence is no sign of a partition
+			departedHosts++
+			continue // the peer has shut down, so its absence is no sign of a partition
 		}
-		if !p.wasReachable {
+		if !p.hasBeenReachable {
 			continue
 		}
 		reachable, sameZone := r.isReachable(p), p.member.Zone == zone
-		allHosts, reachableHosts = allHosts+1, reachableHosts+boolToInt(reachable)
+		knownHosts, reachableHosts = knownHosts+1, reachableHosts+boolToInt(reachable)
 		unreachableHosts += boolToInt(!reachable)
 		zoneHosts, reachableZoneHosts = zoneHosts+boolToInt(sameZone), reachableZoneHosts+boolToInt(sameZone && reachable)
 	}
 	if unreachableHosts > 1 {
-		allHosts += leftHosts // a partition: the hosts that left may have restarted on the other side
+		knownHosts += departedHosts // a partition: the hosts that have shut down may have restarted on the other side
 	}
-	if 2*reachableHosts > allHosts || reachableZoneHosts > 0 && 2*reachableZoneHosts > zoneHosts {
+	if 2*reachableHosts > knownHosts || reachableZoneHosts > 0 && 2*reachableZoneHosts > zoneHosts {
 		return true
 	}
-	return reachableZoneHosts > 0 && 2*reachableZoneHosts == zoneHosts && 2*reachableHosts >= allHosts
+	return reachableZoneHosts > 0 && 2*reachableZoneHosts == zoneHosts && 2*reachableHosts >= knownHosts
 }
 
 func boolToInt(b bool) int {
@@ -376,7 +383,7 @@
 	return hasNewer
 }
 
-// postponeClaims keeps this host from claiming the cells for an exponential backoff.
+// postponeClaims keeps this host from claiming cells until an exponential backoff is over.
 func (r *Router) postponeClaims(zones []string) {
 	for _, zone := range zones {
 		c := r.cells[zone]
@@ -385,9 +392,9 @@
 	}
 }
 
-// writePendingClaims writes claims that were made during a store outage to the store,
-// so that hosts that start later continue from the highest token.
-func (r *Router) writePendingClaims() {
+// writeUnwrittenClaims writes the claims of held cells that were made during a store
+// outage to the store, so that hosts that start later continue from the highest token.
+func (r *Router) writeUnwrittenClaims() {
 	for _, zone := range sortedKeys(r.cells) {
 		c := r.cells[zone]
 		if !c.heldHere || !c.unwritten || r.now.Sub(c.lastWriteAt) < claimWriteInterval {
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -32,7 +32,7 @@
 // host has read the directory within three intervals.
 func (r *Router) hasPeerReadDirectory() bool {
 	for _, p := range r.peers {
-		if r.sharesCells(p.member.Zone) && r.isReachable(p) && p.directoryAge+r.now.Sub(p.lastReceivedAt) < 3*r.Bounds.DirectoryInterval {
+		if r.sharesCells(p.member.Zone) && r.isReachable(p) && p.directoryAge+r.now.Sub(p.lastHeartbeatReceivedAt) < 3*r.Bounds.DirectoryInterval {
 			return true
 		}
 	}
@@ -133,7 +133,7 @@
 func (r *Router) dropForeignTargets(d *Directory) {
 	d.Total = d.targetCount()
 	r.updateTotalTargets(d.Version, d.Total)
-	if r.zonesSplit {
+	if r.holderPerZone {
 		d.Targets = slices.DeleteFunc(slices.Clone(d.Targets), func(t Target) bool {
 			return t.Zone != r.Self.Zone && !r.cell(t.Zone).heldHere
 		})
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -16,7 +16,7 @@
 //
 // Jobs. A host offers its clients' jobs to the holder of its own zone's cell. The
 // holder queues or refuses each job, and it manages the targets by orders: Start begins
-// a run, Stop ends a run, and Renew extends the lease and returns the list of runs.
+// a run, Stop ends a run, and Renew extends the lease and returns the run list.
 // When a job has ended, the holder sends the verdict, the final result, to the job's
 // host, which answers the client.
 //
@@ -25,6 +25,12 @@
 // the cell. The other hosts offer it their jobs again, and it adopts the runs that are
 // still under way.
 //
+// Hosts see each other as members and peers. A member is one incarnation of an entry
+// host, as the store and the claims name it; a peer is another host with the state that
+// this host has of it. The origin of a job is the host that received it from its
+// client; there, the open job is a request. In the code of this package, r is the
+// router, c a cell, j a job, k a task, n a run, t a target, p a peer and q a request.
+//
 // Router.Step applies one event and returns effects as data. The package performs no
 // input or output and does not read the clock.
 package router
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -62,7 +62,7 @@
 	Timeout time.Duration
 }
 
-// Renew extends a target's lease and requests its list of runs. It is answered by one
+// Renew extends a target's lease and requests its run list. It is answered by one
 // RenewAnswered.
 type Renew struct {
 	Target Target
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -152,10 +152,12 @@
 	SentAt time.Time
 	// Poll is copied from the order.
 	Poll bool
-	// Result is Running if the target answered with its list of runs. Fenced, Replaced
-	// and NoAnswer say why there is no list.
-	Result    StartResult
-	Clock     Reading
+	// Result is Running if the target answered with its run list. Fenced, Replaced and
+	// NoAnswer say why there is no run list.
+	Result StartResult
+	Clock  Reading
+	// StartedAt is the start time of the target's process in Unix milliseconds, which
+	// identifies the process; 0 means unknown.
 	StartedAt int64
 	Running   []RunningTask
 	Ended     []End
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -11,7 +11,7 @@
 
 // job is a job that this host holds, as the holder of its zone.
 type job struct {
-	holder.Index // place in the queue
+	holder.Index // position in Router.queue (package holder provides the heap)
 
 	spec         Job
 	origin       string // address of the host that received the job from its client
@@ -39,8 +39,9 @@
 	expectedRunTime time.Duration
 	latestStart     time.Time
 	dueAt           time.Time // end of the latency objective
-	// reoffered is set if another holder had the job before. Its tasks may start again at
-	// quarantinedUntil even if not all targets have accepted this host's token by then.
+	// reoffered is set if the job was offered to another holder before. Its tasks may start
+	// again after quarantinedUntil even if not all targets have accepted this host's token by
+	// then.
 	reoffered        bool
 	quarantinedUntil time.Time
 	previousZones    []string
@@ -88,13 +89,14 @@
 	transitioner.Rule[taskState, taskEvent]{Event: taskFinish, Sources: []taskState{taskActive, taskWaiting, taskDone}, Target: taskDone},
 )
 
-// transitionTask applies an event to a task's state and keeps the queue up to date. It reports
-// a violation and returns false if the state does not allow the event.
+// transitionTask applies an event to a task's state, and removes the job from the queue when
+// none of its tasks waits any more. After taskRequeue, the caller queues the job again. It
+// reports a violation and returns false if the state does not allow the event.
 func (r *Router) transitionTask(j *job, index int, event taskEvent) bool {
 	k := &j.tasks[index]
 	next, ok := taskMachine.Next(k.state, event)
 	if !ok {
-		r.reportViolation("life of a task", "%s of %s in state %s", event, taskName(j.spec.ID, index), k.state)
+		r.reportViolation("life of a task", "event %s does not apply to task %s in state %s", event, taskName(j.spec.ID, index), k.state)
 		return false
 	}
 	if k.state == taskWaiting && next != taskWaiting {
@@ -134,23 +136,24 @@
 	if v, refused := r.admit(j); refused {
 		v.Outcome = j.reportableOutcome(v.Outcome)
 		r.emit(Decision{Action: "refuse", Job: j.spec.ID, Pairs: r.decisionPairs(j, "reason", v.Reason, "after", v.RetryAfter.String())})
-		r.rejectJob(j, v)
+		r.refuseJob(j, v)
 		return
 	}
 	r.emit(Decision{Action: "admit", Job: j.spec.ID, Pairs: r.decisionPairs(j), Routine: true})
 	r.emitStageDuration(j, Accepted, j.arrivedAt)
 	r.jobs[j.spec.ID] = j
 	if j.reoffered {
-		r.pollPreviousTargets(j)
+		r.pollTargetsOfPreviousZones(j)
 	}
 	r.matchListedRuns(j)
 	r.endOrEnqueueJob(j)
 	r.placementNeeded = true
 }
 
-// rejectJob refuses a job. The job is remembered, because a copy of its offer may still arrive
-// over a connection that was replaced.
-func (r *Router) rejectJob(j *job, v Verdict) {
+// refuseJob ends a job that was not admitted and sends the verdict. The job is retained for
+// Bounds.VerdictRetention, because a copy of its offer may still arrive over a connection that
+// was replaced.
+func (r *Router) refuseJob(j *job, v Verdict) {
 	v.SubmissionID = j.submissionID
 	j.ended, j.verdict, j.endedAt = true, v, r.now
 	r.jobs[j.spec.ID] = j
@@ -196,7 +199,8 @@
 }
 
 // handleRepeatedOffer handles an offer of a job that is already known here: its client has
-// submitted it again through another host, or its host offers it again under another claim.
+// submitted it again through another host, its host offers it again under another claim, or
+// the offer is a late copy of one that was already answered.
 func (r *Router) handleRepeatedOffer(j *job, origin string, o *Offer) {
 	j.origin, j.submissionID = origin, o.SubmissionID
 	j.deadline = later(j.deadline, r.now.Add(o.TimeLeft))
@@ -232,11 +236,11 @@
 	return j
 }
 
-// matchListedRuns matches the tasks of a job with the orphans and unmatched ends that targets
-// have listed.
+// matchListedRuns matches the tasks of a new job with the orphans and unmatched ends of all
+// targets: it completes tasks that are done there and adopts runs that are under way.
 func (r *Router) matchListedRuns(j *job) {
 	for _, t := range r.sortedTargets {
-		if len(t.unmatchedEnds) == 0 && len(t.orphans) == 0 {
+		if len(t.unmatchedEnds) == 0 && len(t.orphanRunNumbers) == 0 {
 			continue
 		}
 		for i := range j.tasks {
@@ -245,7 +249,7 @@
 				delete(t.unmatchedEnds, name)
 				r.completeTask(j, i)
 			}
-			if number, ok := t.orphans[name]; ok {
+			if number, ok := t.orphanRunNumbers[name]; ok {
 				r.adoptRun(t, j, i, RunningTask{Task: name, Run: number})
 			}
 		}
@@ -331,16 +335,18 @@
 	return outcome
 }
 
-// endJob gives a job its only verdict and stops its runs.
+// endJob ends a job that has no verdict yet: it stops the job's runs that are running or
+// unconfirmed and sends the verdict. A run in state runStarting is stopped when its Start is
+// answered or counts as unconfirmed. Jobs also end in refuseJob and dropJobsOfZone.
 func (r *Router) endJob(j *job, v Verdict) {
 	v.ID, v.SubmissionID = j.spec.ID, j.submissionID
 	v.Outcome = j.reportableOutcome(v.Outcome)
 	if v.Outcome == Refused && j.mayHaveStarted {
-		r.reportViolation("a refusal is true", "%s may have started but would be refused", j.spec.ID)
+		r.reportViolation("a refusal is true", "job %s may have started but would be refused", j.spec.ID)
 		v.Outcome = Failed
 	}
 	if v.Outcome == Complete && j.doneCount != len(j.tasks) {
-		r.reportViolation("complete or failed", "%s would be complete with %d of %d tasks done", j.spec.ID, j.doneCount, len(j.tasks))
+		r.reportViolation("complete or failed", "job %s would be complete with %d of %d tasks done", j.spec.ID, j.doneCount, len(j.tasks))
 	}
 	j.ended, j.verdict, j.endedAt = true, v, r.now
 	r.queue.Remove(j)
@@ -386,8 +392,11 @@
 	}
 }
 
-// dropJobsOfZone drops the jobs of a zone that has another holder now. The hosts of the zone
-// offer them to the new holder, which takes over their runs.
+// dropJobsOfZone ends, without sending a verdict, the jobs of a zone whose cell has another
+// holder now or had one meanwhile. The hosts of the zone offer the jobs to that holder. The
+// runs at targets of released cells were detached by releaseTarget, so the new holder can adopt
+// them. Runs at targets that this host still holds are stopped if they are running or
+// unconfirmed.
 func (r *Router) dropJobsOfZone(zone string) {
 	for _, id := range sortedKeys(r.jobs) {
 		j := r.jobs[id]
@@ -397,7 +406,7 @@
 		j.ended, j.endedAt, j.verdict = true, r.now, Verdict{ID: id, Outcome: WrongHolder}
 		r.queue.Remove(j)
 		r.stopRuns(j)
-		r.endedJobs = append(r.endedJobs, j) // remembered for VerdictRetention, in case it is offered again
+		r.endedJobs = append(r.endedJobs, j) // retained for Bounds.VerdictRetention, in case the job is offered again
 	}
 }
 
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -30,9 +30,9 @@
 			r.handleEnd(t, end)
 		}
 	}
-	r.sendProgress()                   // before the next renewal, whose acknowledgement lets the target discard the ends
-	if e.Clock.Millis >= t.listClock { // an answer on another connection may have overtaken this one
-		t.listClock = e.Clock.Millis
+	r.sendProgress()                      // before the next renewal, whose acknowledgement lets the target discard the ends
+	if e.Clock.Millis >= t.runListClock { // an answer on another connection may have overtaken this one
+		t.runListClock = e.Clock.Millis
 		r.reconcileRuns(t, e)
 		r.stopOrphans(t)
 	}
@@ -48,7 +48,7 @@
 
 // handleEnd handles the end of a run.
 func (r *Router) handleEnd(t *target, end End) {
-	delete(t.orphans, end.Task)
+	delete(t.orphanRunNumbers, end.Task)
 	n := t.runs[end.Task]
 	if n != nil && n.number == end.Run {
 		r.endRun(n, end.Reason)
@@ -68,7 +68,7 @@
 	t.unmatchedEnds[end.Task] = end
 }
 
-// reconcileRuns compares the runs that a target lists with the runs that are known here.
+// reconcileRuns compares a target's run list with the runs that are known here.
 func (r *Router) reconcileRuns(t *target, e RenewAnswered) {
 	listed := make(map[string]int, len(e.Running))
 	for _, entry := range e.Running {
@@ -80,9 +80,9 @@
 			r.endRun(n, EndLeaseExpired)
 		}
 	}
-	for name := range t.orphans {
+	for name := range t.orphanRunNumbers {
 		if _, isListed := listed[name]; !isListed {
-			delete(t.orphans, name)
+			delete(t.orphanRunNumbers, name)
 		}
 	}
 	for _, entry := range e.Running {
@@ -96,14 +96,15 @@
 	}
 }
 
-// handleUnknownRun handles a listed run that is not known here: a previous holder started it,
-// or the target executed an order late. The run becomes an orphan unless its task can adopt it.
+// handleUnknownRun handles a run in a target's run list that is not known here: a previous holder
+// started it, or the target executed an order late. The run becomes an orphan unless its task
+// can adopt it.
 func (r *Router) handleUnknownRun(t *target, entry RunningTask) {
 	id, index, ok := parseTaskName(entry.Task)
 	if j := r.jobs[id]; ok && j != nil && r.adoptRun(t, j, index, entry) {
 		return
 	}
-	t.orphans[entry.Task] = entry.Run
+	t.orphanRunNumbers[entry.Task] = entry.Run
 }
 
 // adoptRun takes over a run that a previous holder started, if its task still waits. It reports
@@ -113,13 +114,13 @@
 		return false
 	}
 	k := &j.tasks[index]
-	n := &run{job: j, task: index, number: entry.Run, target: t, need: j.spec.Need, state: runRunning, sentAt: r.now, confirmedAt: r.now, startClock: t.listClock, expectedRunTime: r.expectedRunTimeAt(j, t), adopted: true}
+	n := &run{job: j, task: index, number: entry.Run, target: t, need: j.spec.Need, state: runRunning, sentAt: r.now, confirmedAt: r.now, startClock: t.runListClock, expectedRunTime: r.expectedRunTimeAt(j, t), adopted: true}
 	n.nextPollAt = n.nextPollTime(r.now, firstPollFraction)
 	r.transitionTask(j, index, taskStart)
 	k.run, k.lastRun, j.mayHaveStarted = n, max(k.lastRun, entry.Run), true
 	t.runs[entry.Task] = n
 	t.used = t.used.plus(n.need)
-	delete(t.orphans, entry.Task)
+	delete(t.orphanRunNumbers, entry.Task)
 	r.emit(Decision{Action: "takeover", Job: j.spec.ID, Task: entry.Task, Target: t.ID, Pairs: []any{"run", entry.Run}})
 	return true
 }
@@ -130,12 +131,12 @@
 
 // stopOrphans stops runs that no job has claimed within the grace period.
 func (r *Router) stopOrphans(t *target) {
-	if len(t.orphans) == 0 || r.now.Sub(t.fencedAt) < r.Bounds.OrphanGrace || r.now.Sub(t.orphansStoppedAt) < stopRetryInterval {
+	if len(t.orphanRunNumbers) == 0 || r.now.Sub(t.fencedAt) < r.Bounds.OrphanGrace || r.now.Sub(t.orphansStoppedAt) < stopRetryInterval {
 		return
 	}
 	t.orphansStoppedAt = r.now
-	for _, name := range sortedKeys(t.orphans) {
-		r.stopOrphan(t, name, t.orphans[name])
+	for _, name := range sortedKeys(t.orphanRunNumbers) {
+		r.stopOrphan(t, name, t.orphanRunNumbers[name])
 	}
 	r.pollTarget(t)
 }
@@ -194,8 +195,8 @@
 }
 
 // markUnconfirmed handles a run that may have started, or may still start: it is stopped, and
-// is over once a list of the target lacks it. The answer to a second Start order does not tell
-// what became of the first.
+// is over once a run list of the target lacks it. The answer to a second Start order does not
+// tell whether the target executed the first.
 func (r *Router) markUnconfirmed(n *run, result StartResult) {
 	t := n.target
 	n.state = runUnconfirmed
@@ -242,7 +243,7 @@
 	r.emit(Stop{Target: n.target.Target, Token: n.target.token, Task: taskName(n.job.spec.ID, n.task), Run: n.number, Timeout: r.Bounds.OrderTimeout})
 }
 
-// handleStopAnswered handles the answer to a Stop order. The run is over once a list that is
+// handleStopAnswered handles the answer to a Stop order. The run is over once a run list that was
 // requested after the answer lacks it.
 func (r *Router) handleStopAnswered(e StopAnswered) {
 	t := r.targets[e.Target]
@@ -277,7 +278,7 @@
 	delete(n.target.runs, name)
 	n.target.used = n.target.used.Minus(n.need)
 	if n.target.used.CPU < 0 {
-		r.reportViolation("room of a target", "%s has %d in use", n.target.ID, n.target.used.CPU)
+		r.reportViolation("room of a target", "target %s has %d thousandths of a core in use", n.target.ID, n.target.used.CPU)
 	}
 	r.placementNeeded = true
 }
--- a/internal/router/near.go
+++ b/internal/router/near.go
@@ -35,7 +35,7 @@
 
 // sharesCells reports whether this host shares cells with the hosts of a zone: with all
 // hosts while one host holds every cell, otherwise with those of its own zone.
-func (r *Router) sharesCells(zone string) bool { return zone == r.Self.Zone || !r.zonesSplit }
+func (r *Router) sharesCells(zone string) bool { return zone == r.Self.Zone || !r.holderPerZone }
 
 // cellHostCount returns the number of known hosts that share cells with this one, this
 // host included.
@@ -120,7 +120,7 @@
 
 // updateMonitoredPeers recomputes the hubs and which peers are monitored.
 func (r *Router) updateMonitoredPeers() {
-	r.updateZonesSplit()
+	r.updateHolderPerZone()
 	r.hubs = r.hubAddresses()
 	r.fullMesh = r.cellHostCount() <= r.Bounds.FullMeshHosts
 	for _, p := range r.peers {
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -62,10 +62,10 @@
 // elapsedRunTime returns how long a run has run by its target's clock, since answers may have
 // been delayed at this host. If that clock is not known, it counts from confirmedAt.
 func (r *Router) elapsedRunTime(n *run) time.Duration {
-	if n.startClock == 0 || n.target.listClock == 0 {
+	if n.startClock == 0 || n.target.runListClock == 0 {
 		return r.now.Sub(n.confirmedAt)
 	}
-	return time.Duration(n.target.listClock-n.startClock) * time.Millisecond
+	return time.Duration(n.target.runListClock-n.startClock) * time.Millisecond
 }
 
 // relocateTask stops a run so that its task starts again at another target.
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// request is an open job that clients of this host have submitted.
+// request is an open job that clients of this host have submitted. Several client requests may
+// wait for the same job.
 type request struct {
 	job            Job
-	clientRequests []uint64
+	clientRequests []uint64 // numbers of the client requests that wait for the job's answer
 	arrivedAt      time.Time
 	deadline       time.Time
 	// holder is the address of the host that the job was offered to, and token the claim under
@@ -21,8 +22,8 @@
 	// empty until the holder has changed.
 	previousZones []string
 	doneTasks     []int
-	runBase       int
-	started       bool
+	runBase       int  // the run numbers of the current holder start above it
+	hasDoneTask   bool // a task of the job was reported done
 }
 
 const (
@@ -32,14 +33,15 @@
 	runNumberStride = 16
 	// minTimeLeft is the shortest time in which a job can be offered and run.
 	minTimeLeft = 20 * time.Millisecond
-	// noHolderRetryAfter is the retry delay for clients while no host holds the cell: the time
-	// in which the next successor claims it.
+	// noHolderRetryAfter is how long a job waits while no host holds the cell, and the retry
+	// delay for clients after that: the time in which the next successor claims the cell.
 	noHolderRetryAfter = 500 * time.Millisecond
 	// answerGrace is how long after the client's deadline an answer may still arrive.
 	answerGrace = 50 * time.Millisecond
 )
 
-// handleSubmit handles a job that a client submits. A job that is already open is joined.
+// handleSubmit handles a job that a client submits. If the job is already open here, the client
+// request waits for the same answer.
 func (r *Router) handleSubmit(e Submit) {
 	if q := r.requestsByJob[e.Job.ID]; q != nil {
 		q.clientRequests = append(q.clientRequests, e.Request)
@@ -80,12 +82,12 @@
 	r.sendOffer(r.peers[h.Address], q)
 }
 
-// isSuspect reports whether nothing was received from a peer for more than one and a half
+// isSuspect reports whether no heartbeat was received from a peer for more than one and a half
 // heartbeat intervals. A job that is not offered to such a holder can go to the next holder at
 // once, without waiting for runs that may have started.
 func (r *Router) isSuspect(address string) bool {
 	p := r.peers[address]
-	return p != nil && r.now.Sub(p.lastReceivedAt) > r.Bounds.HeartbeatInterval*3/2 && r.isEnabled(SuspectHolderAvoidance)
+	return p != nil && r.now.Sub(p.lastHeartbeatReceivedAt) > r.Bounds.HeartbeatInterval*3/2 && r.isEnabled(SuspectHolderAvoidance)
 }
 
 // sendOffer offers a request to another host. If the job had a previous holder, the message
@@ -108,9 +110,11 @@
 	}
 }
 
-// recordHolderChange records that a request leaves a holder that may have started it. The
-// request is not withdrawn: the previous holder drops the job when it receives the new claim,
-// whereas a withdrawal would stop tasks that the new holder can take over.
+// recordHolderChange notes that the current holder of a request may have started the job: it
+// adds the zones whose targets this holder may have used, reserves new run numbers for the next
+// holder and clears the holder. The request is not withdrawn: the previous holder drops the job
+// when it receives the new claim, whereas a withdrawal would stop tasks that the new holder can
+// take over.
 func (r *Router) recordHolderChange(q *request) {
 	for _, zone := range sortedKeys(r.cells) {
 		used := r.sharesCells(zone) || r.cells[zone].claim.Holder.Address == q.holder
@@ -149,13 +153,14 @@
 	}
 }
 
-// answerIfExpired answers a request if its deadline is over, or if no host holds the cell and
-// the job can no longer finish in time or has waited for noHolderRetryAfter.
+// answerIfExpired answers a request if its deadline and answerGrace are over, or if no holder is
+// reachable and the job can no longer finish in time or has waited for more than
+// noHolderRetryAfter without a holder.
 func (r *Router) answerIfExpired(q *request, hasHolder bool) {
 	expired := r.now.After(q.deadline.Add(answerGrace))
 	minTime := max(q.job.ExpectedRunTime, minTimeLeft)
-	noHolderSince := later(q.arrivedAt, r.cell(r.Self.Zone).holderlessSince)
-	cannotBeServed := !hasHolder && (r.now.Add(minTime).After(q.deadline) || r.now.Sub(noHolderSince) > noHolderRetryAfter)
+	waitingSince := later(q.arrivedAt, r.cell(r.Self.Zone).holderlessSince)
+	cannotBeServed := !hasHolder && (r.now.Add(minTime).After(q.deadline) || r.now.Sub(waitingSince) > noHolderRetryAfter)
 	if !expired && !cannotBeServed {
 		return
 	}
@@ -230,10 +235,10 @@
 }
 
 // handleProgress records finished tasks of this host's requests.
-func (r *Router) handleProgress(p *Progress) {
-	for _, m := range p.Tasks {
+func (r *Router) handleProgress(progress *Progress) {
+	for _, m := range progress.Tasks {
 		if q := r.requestsByJob[m.ID]; q != nil {
-			q.started = true
+			q.hasDoneTask = true
 			if !slices.Contains(q.doneTasks, m.Task) {
 				q.doneTasks = append(q.doneTasks, m.Task)
 			}
@@ -241,8 +246,8 @@
 	}
 }
 
-// handleClientGone removes a client that has disconnected, and withdraws its job if no other
-// client waits for it.
+// handleClientGone removes the client request of a client that has disconnected, and withdraws
+// the job if no other client request waits for it.
 func (r *Router) handleClientGone(e ClientGone) {
 	q := r.openRequests[e.Request]
 	if q == nil {
@@ -272,14 +277,15 @@
 	}
 }
 
-// handleCountOpen reports the open jobs of this host's clients.
+// handleCountOpen reports the open jobs of this host's clients. OpenJobs.Open has an entry for
+// each of them; its value tells whether a task of the job is known to be done.
 func (r *Router) handleCountOpen(e CountOpen) {
-	p := OpenJobs{Request: e.Request, Unstarted: make(map[string]int), Open: make(map[string]bool)}
+	openJobs := OpenJobs{Request: e.Request, Unstarted: make(map[string]int), Open: make(map[string]bool)}
 	for id, q := range r.requestsByJob {
-		p.Open[id] = q.started
-		if !q.started {
-			p.Unstarted[q.job.Route]++
+		openJobs.Open[id] = q.hasDoneTask
+		if !q.hasDoneTask {
+			openJobs.Unstarted[q.job.Route]++
 		}
 	}
-	r.emit(p)
+	r.emit(openJobs)
 }
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -11,10 +11,10 @@
 	// lastPeerTimestamp is the newest Sent time received from the peer, on the peer's
 	// clock. lastEchoedAt is the newest Sent time of this host that the peer has
 	// echoed, on this host's clock.
-	lastPeerTimestamp int64
-	lastEchoedAt      time.Time
-	reachableSince    time.Time // since when the peer is reachable without interruption; zero while it is not
-	lastReceivedAt    time.Time // when the last heartbeat arrived
+	lastPeerTimestamp       int64
+	lastEchoedAt            time.Time
+	reachableSince          time.Time // since when the peer is reachable without interruption; zero while it is not
+	lastHeartbeatReceivedAt time.Time // when the last heartbeat arrived, or when the peer was added if none has
 	// leaving is true while the peer shuts down.
 	leaving bool
 	// reachesHolder is true if the peer reaches the holder of its zone's cell.
@@ -22,7 +22,7 @@
 	configVersion    uint64
 	directoryVersion uint64
 	directoryAge     time.Duration
-	wasReachable     bool // the peer has been reachable in its current incarnation
+	hasBeenReachable bool // the peer has been reachable in its present incarnation
 	// monitored is true for a monitored peer, which is sent heartbeats at the short
 	// interval, and false for a background peer. monitoredSince is when it became
 	// monitored, heartbeatsRequestedAt when it last asked for heartbeats at the short
@@ -36,8 +36,10 @@
 	// partition.
 	unresponsiveSince time.Time
 	exited            bool
-	jobsAllowed       bool // jobs of the peer's clients may run
-	lastRedialAt      time.Time
+	// jobsAllowed is set when the peer is reachable, and cleared when the jobs of the
+	// peer's clients were ended because the peer was unresponsive.
+	jobsAllowed  bool
+	lastRedialAt time.Time
 	// sentConfigVersion is the version of the configuration that was last sent to the
 	// peer, configSentAt when that was.
 	sentConfigVersion uint64
@@ -72,16 +74,16 @@
 
 func (r *Router) send(p *peer, m Message) { r.emit(Send{To: p.member.Address, Message: m}) }
 
-// addPeer returns the peer of a member, which it adds if necessary, or nil for this
-// host or a member without an address. It only dials the peer if the peer is monitored;
-// otherwise the first heartbeat does.
+// addPeer returns the peer of a member, and adds the peer if necessary. It returns nil
+// for this host or a member without an address. A monitored peer is dialled at once, a
+// background peer when this host sends it the first heartbeat.
 func (r *Router) addPeer(m Member) *peer {
 	if m.Address == r.Self.Address || m.Address == "" {
 		return nil
 	}
 	p := r.peers[m.Address]
 	if p == nil {
-		p = &peer{member: m, lastReceivedAt: r.now}
+		p = &peer{member: m, lastHeartbeatReceivedAt: r.now}
 		r.peers[m.Address] = p
 		r.updateMonitored(p)
 	}
@@ -96,8 +98,9 @@
 	}
 }
 
-// handleMessage handles a message from a peer. Malformed messages, and messages from
-// peers that have sent no heartbeat yet, are ignored.
+// handleMessage handles a message from a peer. Malformed messages are ignored, and so
+// are messages other than heartbeats from addresses at which no peer is known. A peer
+// may be known before its first heartbeat, from the store, a claim or an opened link.
 func (r *Router) handleMessage(e Receive) {
 	if err := e.Message.Check(); err != nil {
 		r.emit(Decision{Action: "ignore", Pairs: []any{"from", e.From, "kind", e.Message.Kind(), "error", err.Error()}})
@@ -109,7 +112,7 @@
 		return
 	}
 	if p == nil {
-		return // the sender is unknown until its first heartbeat
+		return // no peer is known at this address
 	}
 	switch m := e.Message; {
 	case m.Offer != nil:
@@ -140,7 +143,7 @@
 	if p == nil {
 		return
 	}
-	p.lastReceivedAt, p.unresponsiveSince, p.exited = r.now, time.Time{}, false
+	p.lastHeartbeatReceivedAt, p.unresponsiveSince, p.exited = r.now, time.Time{}, false
 	if heartbeat.WantsHeartbeats {
 		p.heartbeatsRequestedAt = r.now
 	}
@@ -175,14 +178,14 @@
 	if p == nil || m.Incarnation < p.member.Incarnation {
 		return nil
 	}
-	if m.Incarnation > p.member.Incarnation && p.wasReachable {
+	if m.Incarnation > p.member.Incarnation && p.hasBeenReachable {
 		r.lastHostLossAt = r.now
 		r.emit(Decision{Action: "peer", Pairs: []any{"peer", m.Name, "state", "restarted"}})
 		r.endJobsOfOrigin(p.member.Address)
-		*p = peer{lastReceivedAt: r.now, dialled: p.dialled}
+		*p = peer{lastHeartbeatReceivedAt: r.now, dialled: p.dialled}
 	}
 	p.member = m
-	r.cell(m.Zone)
+	r.cell(m.Zone) // creates the cell if it is not known yet
 	return p
 }
 
@@ -192,7 +195,7 @@
 	p.jobsAllowed = true
 	if p.reachableSince.IsZero() {
 		p.reachableSince = r.now
-		p.wasReachable = true
+		p.hasBeenReachable = true
 		r.emit(Decision{Action: "peer", Pairs: []any{"peer", p.member.Name, "zone", p.member.Zone, "state", "reached"}})
 	}
 	r.sendMissingState(p)
@@ -229,13 +232,14 @@
 	// again to a peer that still lacks it.
 	stateResendInterval = 500 * time.Millisecond
 	// directoryResendInterval is the interval at which a changed directory is sent to
-	// peers that are not hubs: the 80 KB of 540 targets take a quarter of a second on a
+	// peers that are not hubs (see hubAddresses): the 80 KB of 540 targets take a quarter of a second on a
 	// link of 2.5 Mbit/s.
 	directoryResendInterval = 5 * time.Second
 )
 
 // configSendDelay returns how long after adopting a configuration this host waits
-// before it sends it to peers. The strongest reachable host is first.
+// before it sends it to peers. The strongest reachable host sends first: the host with
+// the largest CPU share, and among equal ones the lowest slot.
 func (r *Router) configSendDelay() time.Duration {
 	precedingHosts := 0
 	for _, p := range r.peers {
@@ -246,7 +250,8 @@
 	return min(minConfigSendDelay+time.Duration(precedingHosts)*configSendStagger, maxConfigSendDelay)
 }
 
-// watchPeers detects peers that have become unresponsive, ends the jobs of peers past
+// watchPeers detects peers that have become unresponsive, redials monitored peers without
+// an echo for three quarters of Bounds.PeerTimeout, ends the jobs of peers past
 // Bounds.OriginTimeout and removes peers past their expiry.
 func (r *Router) watchPeers() {
 	for _, p := range r.sortedPeers() {
@@ -260,7 +265,7 @@
 		if p.monitored && p.unresponsiveSince.IsZero() && r.hasHadTimeToAnswer(p) && !r.isReachable(p) {
 			p.unresponsiveSince = r.now
 		}
-		if p.wasReachable && p.monitored && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout*3/4 && r.now.Sub(p.lastRedialAt) > r.Bounds.PeerTimeout {
+		if p.hasBeenReachable && p.monitored && r.now.Sub(p.lastEchoedAt) > r.Bounds.PeerTimeout*3/4 && r.now.Sub(p.lastRedialAt) > r.Bounds.PeerTimeout {
 			p.lastRedialAt = r.now
 			r.emit(Redial{Address: p.member.Address})
 		}
@@ -268,7 +273,7 @@
 			p.jobsAllowed = false
 			r.endJobsOfOrigin(p.member.Address)
 		}
-		if r.now.Sub(p.lastReceivedAt) > r.memberExpiry() {
+		if r.now.Sub(p.lastHeartbeatReceivedAt) > r.memberExpiry() {
 			r.removePeer(p)
 		}
 	}
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// isMoreUrgent reports whether a is more urgent than b: jobs that may have started come first,
-// then those with the earliest latest start.
+// isMoreUrgent reports whether a is more urgent than b. Jobs that may have started come before
+// all others; within each of the two groups, the job that must start sooner comes first.
 func isMoreUrgent(a, b *job) bool {
 	if a.mayHaveStarted != b.mayHaveStarted {
 		return a.mayHaveStarted
@@ -14,9 +14,10 @@
 	return mustStartEarlier(a, b)
 }
 
-// isPlacedBefore reports whether a is placed before b. Late jobs come last. Among the others,
-// jobs beyond the fair share of their route come after those within it, as long as both or
-// neither may have started.
+// isPlacedBefore reports whether a is placed before b. With ByArrival, the job that arrived
+// earlier comes first. Otherwise late jobs come after all others. Within each of these two
+// groups, jobs beyond the fair share of their route come after those within it, if both or
+// neither may have started; isMoreUrgent decides the rest.
 func (r *Router) isPlacedBefore(a, b *job) bool {
 	if r.Policy.QueueOrder == ByArrival && !a.arrivedAt.Equal(b.arrivedAt) {
 		return a.arrivedAt.Before(b.arrivedAt)
@@ -52,7 +53,7 @@
 	if r.queue.Len() == 0 {
 		return
 	}
-	r.targetLoad = r.currentUtilization()
+	r.targetUtilization = r.currentUtilization()
 	ordered := slices.Clone(r.queue.Items())
 	slices.SortFunc(ordered, func(a, b *job) int {
 		if r.isPlacedBefore(a, b) {
@@ -71,11 +72,12 @@
 	}
 }
 
-// placeJob starts the waiting tasks of a job. It returns false if a task found no target for
-// lack of capacity. If a task that avoids targets or a job that may not use all cells finds
-// none, that says nothing about the capacity for other jobs, and the result is true.
+// placeJob starts the waiting tasks of a job. It returns false only if a task found no target
+// although it avoids none and its job may use all cells held here: the capacity is then taken
+// not to suffice for the CPU need of the task. Otherwise it returns true, even if nothing was
+// started, for instance because the job cannot start yet.
 func (r *Router) placeJob(j *job) bool {
-	if r.isQuarantined(j) {
+	if r.cannotStartYet(j) {
 		return true
 	}
 	for i := range j.tasks {
@@ -92,10 +94,10 @@
 	return true
 }
 
-// isQuarantined reports whether a queued job may not start now: because its zone has another
-// holder, or because runs of a previous holder may still be under way. It holds no capacity
-// back from the jobs behind it.
-func (r *Router) isQuarantined(j *job) bool {
+// cannotStartYet reports whether a queued job may not start now: because this host does not
+// hold the cell of its zone, or because the job is quarantined, as runs of a previous holder
+// may still be under way. Such a job keeps no capacity from the jobs behind it.
+func (r *Router) cannotStartYet(j *job) bool {
 	c := r.cells[r.zoneOf(j.origin)]
 	return c == nil || !c.heldHere || j.reoffered && !r.isQuarantineOver(j)
 }
@@ -111,44 +113,44 @@
 	}
 	for _, zone := range j.previousZones {
 		if c := r.cells[zone]; c == nil || !c.heldHere {
-			return false // its targets belong to another holder and may not be listed here
+			return false // the zone's targets belong to another holder and may not be listed here
 		}
 	}
-	hasConfirmed := func(entry Target) bool {
+	needsNoWait := func(entry Target) bool {
 		t := r.targets[entry.ID]
 		return t != nil && t.fenced && !t.lastConfirmedAt.Before(j.offeredAt) || !slices.Contains(j.previousZones, entry.Zone)
 	}
 	for _, entry := range r.directory.Targets {
-		if !hasConfirmed(entry) {
+		if !needsNoWait(entry) {
 			return false
 		}
 	}
 	for _, s := range r.previousTargets {
-		if !hasConfirmed(s.target) {
+		if !needsNoWait(s.target) {
 			return false
 		}
 	}
 	return true
 }
 
-// isAcquiredAfter reports whether this host acquired a cell after a job was offered. The host
-// of the job's client does not count such a cell among those that a previous holder may have
-// used.
-func (c *cell) isAcquiredAfter(j *job) bool { return c.acquiredAt.After(j.offeredAt) }
+// wasAcquiredAfterOffer reports whether this host acquired a cell after a job was offered. The
+// job may not use such a cell: its origin might not list the cell's zone among the previous
+// zones when it offers the job to another holder, which would then not wait for runs there.
+func (c *cell) wasAcquiredAfterOffer(j *job) bool { return c.acquiredAt.After(j.offeredAt) }
 
 // hasExcludedCells reports whether this host holds cells that a job may not use.
 func (r *Router) hasExcludedCells(j *job) bool {
 	for _, c := range r.cells {
-		if c.heldHere && c.isAcquiredAfter(j) {
+		if c.heldHere && c.wasAcquiredAfterOffer(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// pollPreviousTargets asks the targets that a previous holder of a job may have used whether
-// they accept this host's token.
-func (r *Router) pollPreviousTargets(j *job) {
+// pollTargetsOfPreviousZones asks the targets in a job's previous zones, which a previous
+// holder may have used, whether they accept this host's token.
+func (r *Router) pollTargetsOfPreviousZones(j *job) {
 	for _, t := range r.sortedTargets {
 		if t.lastConfirmedAt.Before(j.offeredAt) && slices.Contains(j.previousZones, t.Zone) {
 			r.pollTarget(t)
@@ -156,63 +158,67 @@
 	}
 }
 
-// chooseTarget returns the best target for a task, or nil if there is none. Apart from the
+// chooseTarget returns the best target for a task, or nil if there is none. The lowest score
+// wins: the CPU that the target has left beside the task, plus the penalty. Apart from the
 // penalties, this is the target with the least CPU left (best fit), so that other targets keep
 // room for large tasks.
 func (r *Router) chooseTarget(j *job, k *task) *target {
 	var best *target
-	bestLeft := 0
+	bestScore := 0
 	for _, t := range r.sortedTargets {
 		if t.Service != j.spec.Service || !t.Capacity.Minus(t.used).Fits(j.spec.Need) || !t.hasLabel(j.spec.Label) {
 			continue
 		}
-		if k.avoids(t.ID) || !r.isUsable(t) || r.isAtTaskLimit(j, t) || r.cells[t.Zone].isAcquiredAfter(j) {
+		if k.avoids(t.ID) || !r.isUsable(t) || r.isAtTaskLimit(j, t) || r.cells[t.Zone].wasAcquiredAfterOffer(j) {
 			continue
 		}
 		left := t.Capacity.Minus(t.used)
 		score := left.CPU - j.spec.Need.CPU + r.penalty(j, t)
-		if best == nil || score < bestLeft || score == bestLeft && t.ID < best.ID {
-			best, bestLeft = t, score
+		if best == nil || score < bestScore || score == bestScore && t.ID < best.ID {
+			best, bestScore = t, score
 		}
 	}
 	return best
 }
 
+// Penalties are in thousandths of a core, like the free CPU to which they are added.
 const (
-	// otherRackPenalty outweighs any difference in free CPU, in thousandths of a core: in
-	// another rack than its data, a task takes several times as long.
+	// otherRackPenalty outweighs any difference in free CPU: in another rack than its data, a
+	// task takes several times as long.
 	otherRackPenalty = 4_000_000
 	// latePenalty applies to a target where the task is expected to end too late. It also
-	// outweighs any difference in free CPU.
+	// outweighs any difference in free CPU. The expected run time in milliseconds is added to
+	// it, so that the fastest of several such targets is preferred.
 	latePenalty = 1_000_000
-	// speedPenalty weighs the speed of a target. It keeps fast targets free for tasks that need
-	// them.
+	// speedPenalty is the weight of a target's speed relative to a target of average speed.
+	// Below preferFastMaxUtilization, fast targets are preferred; from there on, they are left
+	// to tasks that need them.
 	speedPenalty = 100_000
 	// otherZonePenalty keeps a job's tasks in the zone of its client, so that losing the
 	// connection to another zone does not affect them. It outweighs the free CPU of a target
-	// and a difference in speed of 40 %.
+	// and equals a difference in speed of 40 % of the average.
 	otherZonePenalty = 40_000
-	// zoneAffinityMaxLoad is the utilization up to which otherZonePenalty applies. Above it,
-	// all zones are packed as one pool.
-	zoneAffinityMaxLoad = 0.8
-	// preferFastMaxLoad is the utilization from which fast targets are left to tasks that need
-	// them. If a third of the targets are slow, the fast ones are full at a utilization of two
-	// thirds.
-	preferFastMaxLoad = 0.6
+	// zoneAffinityMaxUtilization is the utilization below which otherZonePenalty applies. From
+	// there on, all zones are packed as one pool.
+	zoneAffinityMaxUtilization = 0.8
+	// preferFastMaxUtilization is the utilization below which fast targets are preferred. From
+	// there on, they are left to tasks that need them. If a third of the targets are slow, the
+	// fast ones are full at a utilization of two thirds.
+	preferFastMaxUtilization = 0.6
 	// runTimeMarginFactor is the factor on an expected run time that one in six runs exceeds:
 	// the logarithms of run times deviate from the prediction by 0.3 (one standard deviation).
 	runTimeMarginFactor = 1.35
 )
 
 // penalty returns the penalty of a target, in thousandths of a core, which is added to the CPU
-// that it has left. Once fast targets are scarce, tasks that finish in time on a slower target
-// leave the fast ones to tasks that do not.
+// that the target has left. From preferFastMaxUtilization on, a task that finishes in time on a
+// slower target leaves the fast ones to tasks that would be late there.
 func (r *Router) penalty(j *job, t *target) int {
 	penalty := 0
 	if j.spec.Rack != "" && !t.hasLabel(j.spec.Rack) {
 		penalty += otherRackPenalty
 	}
-	if r.isEnabled(ZoneAffinity) && r.targetLoad < zoneAffinityMaxLoad && r.zoneOf(j.origin) != t.Zone {
+	if r.isEnabled(ZoneAffinity) && r.targetUtilization < zoneAffinityMaxUtilization && r.zoneOf(j.origin) != t.Zone {
 		penalty += otherZonePenalty
 	}
 	expectedRunTime := r.expectedRunTimeAt(j, t)
@@ -223,14 +229,14 @@
 		return penalty
 	}
 	speed := j.taskRunTime.Seconds() / max(expectedRunTime.Seconds(), 1e-3)
-	if r.targetLoad < preferFastMaxLoad {
+	if r.targetUtilization < preferFastMaxUtilization {
 		speed = -speed
 	}
 	return penalty + int(speedPenalty*speed)
 }
 
-// currentUtilization returns the part of the usable targets' CPU that is in use, between 0 and
-// 1.
+// currentUtilization returns the utilization of the usable targets: the CPU that runs use there
+// divided by their CPU capacity, between 0 and 1.
 func (r *Router) currentUtilization() float64 {
 	used, total := 0, 0
 	for _, t := range r.sortedTargets {
@@ -263,7 +269,7 @@
 func (r *Router) startTask(j *job, index int, t *target) {
 	k := &j.tasks[index]
 	if k.run != nil {
-		r.reportViolation("one run a task", "%s already has a run at %s", taskName(j.spec.ID, index), k.run.target.ID)
+		r.reportViolation("one run a task", "task %s already has a run at target %s", taskName(j.spec.ID, index), k.run.target.ID)
 		return
 	}
 	if !r.transitionTask(j, index, taskStart) {
@@ -271,7 +277,7 @@
 	}
 	name := taskName(j.spec.ID, index)
 	if old := t.runs[name]; old != nil {
-		r.reportViolation("one run a task", "%s still has another run at %s", name, t.ID)
+		r.reportViolation("one run a task", "task %s still has another run at target %s", name, t.ID)
 	}
 	k.lastRun++
 	n := &run{job: j, task: index, number: k.lastRun, target: t, need: j.spec.Need, state: runStarting, sentAt: r.now, expectedRunTime: r.expectedRunTimeAt(j, t)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,11 +42,11 @@
 	slotUses                  int              // count of the slot's uses; distinguishes the tokens of this incarnation from earlier ones
 	generation                uint64           // highest known generation
 	peers                     map[string]*peer // by address
-	maxLinkRate               int              // highest known link rate of a host, in kilobits a second
+	maxLinkRate               int              // link rate of the fastest known host, in kilobits a second
 	totalTargets              int              // number of targets in the newest known version of the directory
 	totalTargetsVersion       uint64           // that version
 	lastHostLossAt            time.Time        // when the loss of a host was last detected
-	zonesSplit                bool             // each zone has a holder of its own
+	holderPerZone             bool             // each zone has a holder of its own; otherwise one host holds all cells
 	hubs                      map[string]bool  // addresses of the hosts that all hosts of the cells monitor
 	fullMesh                  bool             // every host of the cells monitors every other
 	lastHeartbeatAt           time.Time        // when heartbeats were last sent to the monitored peers
@@ -71,7 +71,7 @@
 	learnedStateSentAt  time.Time             // when learned state was last sent to peers
 	learnedStateSavedAt time.Time             // when learned state was last saved to the store
 	placementNeeded     bool                  // an event may have made it possible to place a task
-	targetLoad          float64               // utilization of the usable targets
+	targetUtilization   float64               // utilization of the usable targets
 	// targetsReportProgress is true once a target has reported the progress of a run.
 	targetsReportProgress bool
 
@@ -177,7 +177,7 @@
 	r.sendDueHeartbeats()
 	r.trackMissingHolders()
 	r.claimCells()
-	r.writePendingClaims()
+	r.writeUnwrittenClaims()
 	r.refreshDirectory()
 	r.maintainStandbyConnections()
 	r.checkTargets()
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -11,18 +11,23 @@
 	Target
 	token uint64 // fencing token of this host's claim
 	// fenced is set once the target has accepted the token. From then on, it rejects the orders
-	// of hosts with a lower token.
-	fenced           bool
-	lastConfirmedAt  time.Time // when the last renewal with a good answer was sent
-	lastReading      Reading
-	runsExpireAt     time.Time // when all leases there have expired unless an order extends them
-	lastAckedEnd     int
-	incarnation      int64
-	runs             map[string]*run // by task
-	used             Resources
-	orphans          map[string]int // numbers of listed runs that no job claims, by task
-	orphansStoppedAt time.Time      // last time that the orphans were ordered to stop
-	listClock        int64          // the target's clock at its newest list, in milliseconds
+	// of hosts with a lower token. The result Fenced is the opposite case: the target obeys a
+	// higher token than this host's.
+	fenced          bool
+	lastConfirmedAt time.Time // when the newest renewal that was answered with a run list was sent
+	lastReading     Reading
+	runsExpireAt    time.Time // when all leases there have expired unless an order extends them
+	lastAckedEnd    int
+	// incarnation is the start time of the target's process in Unix milliseconds, which
+	// identifies the process; 0 if it is not known.
+	incarnation int64
+	runs        map[string]*run // by task
+	used        Resources
+	// orphanRunNumbers are the run numbers, by task name, of the orphans: runs in the target's
+	// run list that are not known here and that no task has adopted.
+	orphanRunNumbers map[string]int
+	orphansStoppedAt time.Time // last time that the orphans were ordered to stop
+	runListClock     int64     // the target's clock at its newest run list, in milliseconds
 	// unmatchedEnds are ends of tasks whose job was not offered to this host yet.
 	unmatchedEnds  map[string]End
 	fencedAt       time.Time // when it accepted the token
@@ -60,8 +65,8 @@
 	// not known.
 	startClock int64
 	// confirmedAt is when an answer of the target last confirmed the state of the run; zero if
-	// none has since the last order. If a list that was requested after confirmedAt lacks the
-	// run, the run is over.
+	// none has since the last order. If a run list that was requested after confirmedAt lacks
+	// the run, the run is over.
 	confirmedAt time.Time
 	stopSentAt  time.Time // when the last Stop was sent
 	// expectedRunTime is the expected run time at this target and nextPollAt the time of the
@@ -112,11 +117,12 @@
 	fullTargetDelay = 100 * time.Millisecond
 )
 
-// syncTargets updates the targets from the directory, the previous targets and the held cells.
+// syncTargets updates the targets of the held cells from the directory and from
+// previousTargets: targets that a previous holder may have used and that the directory may lack.
 func (r *Router) syncTargets() {
-	seen := make(map[string]bool, len(r.directory.Targets))
+	inDirectory := make(map[string]bool, len(r.directory.Targets))
 	for _, entry := range r.directory.Targets {
-		seen[entry.ID] = true
+		inDirectory[entry.ID] = true
 		if c := r.cell(entry.Zone); c.heldHere {
 			r.registerTarget(entry, c)
 		}
@@ -124,15 +130,17 @@
 	for _, id := range sortedKeys(r.previousTargets) {
 		entry := r.previousTargets[id].target
 		c := r.cell(entry.Zone)
-		if !c.heldHere || seen[id] || r.targets[id] != nil && r.targets[id].token == c.claim.Token {
+		if !c.heldHere || inDirectory[id] || r.targets[id] != nil && r.targets[id].token == c.claim.Token {
 			continue
 		}
 		r.registerTarget(entry, c)
-		seen[id] = false
+		// The target is not in the directory. It is registered here, and marked as unlisted
+		// below, so that it gets no new tasks.
+		inDirectory[id] = false
 	}
 	for _, id := range sortedKeys(r.targets) {
 		t := r.targets[id]
-		if !seen[id] && t.listed {
+		if !inDirectory[id] && t.listed {
 			t.listed, t.unlistedSince = false, r.now
 			r.logTarget(t, "unlisted")
 		}
@@ -140,11 +148,12 @@
 	r.placementNeeded = true
 }
 
-// registerTarget adds or updates a target of a held cell from its directory entry.
+// registerTarget adds or updates a target of a held cell from its entry in the directory or in
+// previousTargets.
 func (r *Router) registerTarget(entry Target, c *cell) {
 	t := r.targets[entry.ID]
 	if t == nil {
-		t = &target{Target: entry, runs: make(map[string]*run), orphans: make(map[string]int), unmatchedEnds: make(map[string]End)}
+		t = &target{Target: entry, runs: make(map[string]*run), orphanRunNumbers: make(map[string]int), unmatchedEnds: make(map[string]End)}
 		r.targets[entry.ID] = t
 		r.sortedTargets = append(r.sortedTargets, t)
 		slices.SortFunc(r.sortedTargets, func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
@@ -153,14 +162,16 @@
 		r.logTarget(t, "draining")
 	}
 	restarted := entry.StartedAt > t.StartedAt && t.StartedAt > 0 && entry.StartedAt > t.incarnation
-	t.incarnation = max(t.incarnation, t.StartedAt) // its next list shows the new incarnation
+	// This keeps the old start time: handleTargetRestart sets the new one when a run list of the
+	// restarted target arrives.
+	t.incarnation = max(t.incarnation, t.StartedAt)
 	t.Target, t.listed = entry, true
 	if restarted {
 		r.pollTarget(t)
 	}
 	if t.token != c.claim.Token {
 		t.token, t.fenced, t.nextRenewalAt = c.claim.Token, false, time.Time{}
-		t.orphans, t.unmatchedEnds = make(map[string]int), make(map[string]End)
+		t.orphanRunNumbers, t.unmatchedEnds = make(map[string]int), make(map[string]End)
 		r.renewTarget(t)
 	}
 }
@@ -170,19 +181,19 @@
 	r.emit(Decision{Action: "target", Target: t.ID, Pairs: append([]any{"state", state, "runs", len(t.runs), "age", r.formatAge(t.lastConfirmedAt)}, pairs...)})
 }
 
-// handleTargetRestart resets what is known of a target that has restarted. Its runs are kept
-// until a list shows which of them exist, since runs that were started after the restart may
-// continue.
+// handleTargetRestart resets the state of a target whose run list shows that it has restarted.
+// The runs are retained until a run list shows which of them exist, since runs that were
+// started after the restart may continue.
 func (r *Router) handleTargetRestart(t *target, startedAt int64) {
 	r.logTarget(t, "restarted", "born", startedAt)
-	t.incarnation, t.lastAckedEnd, t.lastReading, t.listClock = startedAt, 0, Reading{}, 0
-	t.orphans, t.unmatchedEnds = make(map[string]int), make(map[string]End)
+	t.incarnation, t.lastAckedEnd, t.lastReading, t.runListClock = startedAt, 0, Reading{}, 0
+	t.orphanRunNumbers, t.unmatchedEnds = make(map[string]int), make(map[string]End)
 	t.failures, t.slowdownSum, t.ejectedUntil = 0, 0, time.Time{}
-	r.pollTarget(t) // covers starts that were answered after the list was requested
+	r.pollTarget(t) // this run list may lack runs whose Start was answered after it was requested
 }
 
-// releaseTarget removes a target whose cell has another holder. The new holder takes over its
-// runs or stops them.
+// releaseTarget removes a target whose cell has another holder, and detaches the target's runs
+// from their tasks. The new holder adopts the runs or stops them.
 func (r *Router) releaseTarget(t *target) {
 	postponedUntil := r.now.Add(r.Bounds.LeaseDuration + r.Bounds.OrphanGrace + 2*r.Bounds.StopDuration)
 	for _, name := range sortedKeys(t.runs) {
@@ -206,7 +217,7 @@
 	if t.onTrial && len(t.runs) > 0 {
 		return false
 	}
-	return len(t.orphans) == 0
+	return len(t.orphanRunNumbers) == 0
 }
 
 // isUnresponsive reports whether a target has missed a renewal or has not answered any for
@@ -240,8 +251,9 @@
 	}
 }
 
-// renewTarget sends the next renewal when it is due, unless one is under way. At a target with
-// runs, the renewal waits until a run ends or RenewWait is over.
+// renewTarget sends the next renewal when it is due, unless one is under way. A fenced target
+// with runs that has missed no renewal delays its answer until a run ends or RenewWait has
+// passed; other targets answer at once.
 func (r *Router) renewTarget(t *target) {
 	if t.renewing || r.now.Before(t.nextRenewalAt) {
 		return
@@ -254,9 +266,9 @@
 	r.sendRenew(t, wait, false)
 }
 
-// pollTarget asks a target at once what it runs. If a poll was sent less than minPollInterval
-// ago and is not answered yet, the next one follows after that time, because the answer may be
-// lost.
+// pollTarget polls a target: it requests the run list at once, by a Renew order with Poll set
+// and no wait. If a poll was sent less than minPollInterval ago and is not answered yet, the
+// next one follows after that time, because the answer may be lost.
 func (r *Router) pollTarget(t *target) {
 	if t.pollsInFlight > 0 && r.now.Sub(t.lastPollAt) < minPollInterval {
 		t.pollAgain = true
@@ -269,7 +281,7 @@
 
 func (r *Router) sendRenew(t *target, wait time.Duration, poll bool) {
 	leaseEnd := int64(0)
-	if len(t.orphans) == 0 && t.missedRenewals == 0 {
+	if len(t.orphanRunNumbers) == 0 && t.missedRenewals == 0 {
 		// Leases are not extended while the target has orphans, which would run on, or is
 		// unresponsive, since its tasks can start elsewhere only after the leases have expired.
 		leaseEnd = t.leaseEnd(r.now, r.Bounds.LeaseDuration)
@@ -313,12 +325,12 @@
 	r.scheduleRenewal(t)
 }
 
-// scheduleRenewal sets the time of the next renewal.
+// scheduleRenewal sets the time of the next renewal, and sends the renewal if it is due already.
 func (r *Router) scheduleRenewal(t *target) {
 	switch {
 	case t.missedRenewals > 0:
 		t.nextRenewalAt = r.now.Add(renewRetryInterval * time.Duration(min(t.missedRenewals, 10)))
-	case len(t.runs) > 0 || len(t.orphans) > 0:
+	case len(t.runs) > 0 || len(t.orphanRunNumbers) > 0:
 		t.nextRenewalAt = time.Time{}
 	default:
 		t.nextRenewalAt = r.now.Add(r.Bounds.IdleRenewInterval)
@@ -338,8 +350,9 @@
 	r.emit(CloseIdle{ID: t.ID})
 }
 
-// handleReplacedTarget ends the runs of a target because another process answers at its
-// address.
+// handleReplacedTarget handles that another process answers at a target's address. The runs are
+// gone with the old process, so they end as if their leases had expired. The target counts as
+// unresponsive until it answers a renewal.
 func (r *Router) handleReplacedTarget(t *target) {
 	r.logTarget(t, "replaced")
 	for _, name := range sortedKeys(t.runs) {
@@ -373,7 +386,8 @@
 	}
 }
 
-// expireRuns ends all runs of a target that no order has reached for the duration of a lease.
+// expireRuns ends all runs of a target after their leases have expired. runsExpireAt includes the
+// clock drift and leaseExpiryMargin.
 func (r *Router) expireRuns(t *target) {
 	r.logTarget(t, "lapsed")
 	t.fenced = false
@@ -383,7 +397,8 @@
 	r.emit(CloseIdle{ID: t.ID})
 }
 
-// retryStops sends Stop orders again that have had no effect yet.
+// retryStops sends a Stop order again for each run that is stopping or whose Start was not
+// answered, at most once in stopRetryInterval.
 func (r *Router) retryStops(t *target) {
 	for _, name := range sortedKeys(t.runs) {
 		n := t.runs[name]
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -62,8 +62,8 @@
 // directory itself, even if a host of another zone has read it.
 func TestTargetCountFromHeartbeatSplitsZones(t *testing.T) {
 	b := newHolderBed(t, 2, ClaimWon)
-	assert.False(t, b.router.zonesSplit)
+	assert.False(t, b.router.holderPerZone)
 	b.receiveDirectoryHeartbeat("south", "10.0.0.7:1", 7, b.router.Bounds.MaxSharedTargets+1)
-	assert.True(t, b.router.zonesSplit)
+	assert.True(t, b.router.holderPerZone)
 	assert.False(t, b.router.hasPeerReadDirectory())
 }
