--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -82,8 +82,8 @@
 	Capacity Resources `cbor:"6,keyasint"`
 	// Labels are the target's kind and its rack.
 	Labels []string `cbor:"7,keyasint,omitempty"`
-	// StartedAt is the time of the target's start in Unix milliseconds; 0 means
-	// unknown.
+	// StartedAt is the start time of the target's process in Unix milliseconds, which
+	// identifies the process; 0 means unknown.
 	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -74,7 +74,7 @@
 // store outage.
 func (r *Router) handleDirectory(p *peer, d Directory) {
 	if len(d.Targets) < d.Total && p.member.Zone != r.Self.Zone {
-		return // the peer's list is that of another zone
+		return // the peer's directory has only the targets of another zone
 	}
 	if r.isStoreOutageRecent() && r.now.Sub(p.reachableSince) <= r.Bounds.UnlistedGrace && d.Version > r.directory.Version {
 		r.retainMissingTargets(&d)
--- a/internal/router/job.go
+++ b/internal/router/job.go
@@ -178,7 +178,7 @@
 }
 
 // inheritRuns makes the tasks of a job wait for runs of its earlier submission that may
-// continue, and use higher run numbers than those.
+// continue, and use higher run numbers than these runs.
 func (j *job) inheritRuns(earlier *job) {
 	if earlier == nil {
 		return
--- a/internal/router/learn.go
+++ b/internal/router/learn.go
@@ -36,8 +36,8 @@
 	VarTimeout  float64 `cbor:"9,keyasint,omitempty"`
 }
 
-// KindSpeed is the relative speed of one kind of target: the logarithm of the factor that it
-// puts on the run time.
+// KindSpeed is the relative speed of one kind of target. Log is the logarithm of the factor by
+// which tasks take longer there than at a target of average speed.
 type KindSpeed struct {
 	Kind  string  `cbor:"1,keyasint"`
 	Count int     `cbor:"2,keyasint"`
@@ -60,8 +60,9 @@
 	speedWindow = 200
 	// minSpeedSamples is the number of tasks from which the speed of a kind is used.
 	minSpeedSamples = 10
-	// maxLogDeviation is the largest deviation that is learned from. Beyond a factor of 3, the
-	// target is at fault rather than the estimate.
+	// maxLogDeviation bounds the logarithm of the factor between a run time and its prediction.
+	// A run time that deviates by more than a factor of 3 is an outlier and is not added to the
+	// model: the target is at fault rather than the prediction.
 	maxLogDeviation = 1.1
 	// defaultRunTime is the assumed run time of a task if none is declared.
 	defaultRunTime = 300 * time.Millisecond
@@ -246,7 +247,7 @@
 
 // mergeLearnedState replaces the whole learned state with the received one if that has more
 // samples, and otherwise ignores it. Route models and kind speeds are replaced together,
-// because they only make sense together.
+// because the run times in a route model were divided by the speed factors of that time.
 func (r *Router) mergeLearnedState(routes []RouteStats, speeds []KindSpeed) {
 	receivedCount, ownCount := 0, 0
 	for _, received := range routes {
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -232,8 +232,8 @@
 	// again to a peer that still lacks it.
 	stateResendInterval = 500 * time.Millisecond
 	// directoryResendInterval is the interval at which a changed directory is sent to
-	// peers that are not hubs (see hubAddresses): the 80 KB of 540 targets take a quarter of a second on a
-	// link of 2.5 Mbit/s.
+	// peers that are not hubs (see hubAddresses): the 80 KB of 540 targets take a quarter
+	// of a second on a link of 2.5 Mbit/s.
 	directoryResendInterval = 5 * time.Second
 )
 
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -23,8 +23,8 @@
 	OverloadBackoff Mechanism = "spells"
 	// ZoneAffinity places tasks in the zone of their client while utilization is low.
 	ZoneAffinity Mechanism = "zone"
-	// SpeedAwarePlacement uses fast targets first, and leaves them to long tasks once they are
-	// scarce.
+	// SpeedAwarePlacement uses fast targets first. While utilization is high, it leaves them to
+	// tasks that would be late on slower targets.
 	SpeedAwarePlacement Mechanism = "fast"
 	// RunTimePrediction predicts the run times of a route from those of its earlier tasks.
 	RunTimePrediction Mechanism = "times"
--- a/internal/router/share.go
+++ b/internal/router/share.go
@@ -31,8 +31,8 @@
 	shareBurst = 250 * time.Millisecond
 	// shareUtilization is the part of the targets' CPU that tasks can fill.
 	shareUtilization = 0.9
-	// overloadGap is the time without a refusal that ends an overload period. During one,
-	// refusals of the busiest route are closer together.
+	// overloadGap is the time without a refusal that ends an overload period. During an overload
+	// period, refusals of the busiest route are closer together.
 	overloadGap = 500 * time.Millisecond
 	// maxOverloadBackoff bounds the overload backoff to about the time that a client waits for
 	// an answer.
--- a/internal/router/slowdown.go
+++ b/internal/router/slowdown.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// recordFinalSlowdown records the run time of a finished run, as seen by this host. A host that
-// lacks CPU time sees ends late, so this can count only in favour of a target.
+// recordFinalSlowdown records the run time of a finished run, as seen by this host, if it is
+// within the allowed slowdown. It can thus only lower the target's sum of slowdowns: a host that
+// lacks CPU time sees ends late, which must not count against a target.
 func (r *Router) recordFinalSlowdown(n *run, runTime time.Duration) {
 	if runTime.Seconds() < n.expectedRunTime.Seconds()*math.Exp(allowedLogSlowdown) {
 		r.recordSlowdown(n, runTime)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -85,8 +85,8 @@
 	Used     Resources    `json:"used"`
 	Capacity Resources    `json:"room"`
 	Runs     int          `json:"runs"`
-	// Age is the time since the newest order with a good answer was sent; -1 means
-	// none.
+	// Age is the time since the newest renewal that was answered with a run list was
+	// sent; -1 means none.
 	Age time.Duration `json:"age"`
 	// EjectedFor is the remaining time of the ejection.
 	EjectedFor time.Duration `json:"barred"`
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -15,9 +15,9 @@
 	// higher token than this host's.
 	fenced          bool
 	lastConfirmedAt time.Time // when the newest renewal that was answered with a run list was sent
-	lastReading     Reading
+	lastReading     Reading   // newest reading of the target's clock
 	runsExpireAt    time.Time // when all leases there have expired unless an order extends them
-	lastAckedEnd    int
+	lastAckedEnd    int       // number of the newest end that was handled; renewals acknowledge it
 	// incarnation is the start time of the target's process in Unix milliseconds, which
 	// identifies the process; 0 if it is not known.
 	incarnation int64
@@ -56,7 +56,7 @@
 	target *target
 	need   Resources
 	state  runState
-	sentAt time.Time
+	sentAt time.Time // when the Start order was first sent, or when the run was adopted
 	// adopted is set if a previous holder started the run, so that its start time is not known.
 	adopted bool
 	// retried is set if the Start order was sent a second time.
