--- a/internal/modeler/client.go
+++ b/internal/modeler/client.go
@@ -24,39 +24,43 @@
 	MeanRunTime                  time.Duration
 	RunTimeSpread, EstimateError float64
 	Need                         router.Resources
-	Stretch                      float64
-	Allowance                    time.Duration
-	MaxAttempts                  int
-	// Benefit is the benefit value of an answer in time. A late answer has a
-	// fifth of it, and none after three times the latency objective.
+	// Stretch and Allowance define the latency objective of a job: the longest run time of
+	// its tasks at a default target, times Stretch, plus Allowance.
+	Stretch   float64
+	Allowance time.Duration
+	// MaxAttempts is the number of failed runs of a task after which its job fails; 0 means 1.
+	MaxAttempts int
+	// Benefit is the benefit value of an answer within the latency objective to a job with
+	// the mean amount of work. A late answer has a fifth of the value, and none after three
+	// times the latency objective.
 	Benefit float64
 }
 
 // client is a job and the client that sends it.
 type client struct {
-	sim         *Simulation
-	id          string
-	kind        *JobKind
-	zone        string
-	job         router.Job
-	taskSeconds float64   // run time of one task at a default target, in seconds
-	taskFactors []float64 // run time factor of each task
-	sentAt      time.Time
-	objective   time.Duration // latency objective
-	timeout     time.Duration
-	host        *host
-	requestID   uint64
-	attempts    int
-	index       int // index among the jobs of its kind
-	ended       bool
-	wasRefused  bool
-	wasResent   bool // was sent again after a refusal
-	mayHaveRun  bool // an earlier attempt ended without a definite answer
+	sim                 *Simulation
+	id                  string
+	kind                *JobKind
+	zone                string
+	job                 router.Job
+	taskSeconds         float64   // run time of a task with factor 1 at a default target, in seconds
+	taskFactors         []float64 // run time factor of each task
+	sentAt              time.Time
+	objective           time.Duration // latency objective
+	timeout             time.Duration
+	host                *host
+	requestID           uint64
+	attempts            int
+	index               int // index among the jobs of its kind
+	ended               bool
+	wasRefused          bool
+	retriedAfterRefusal bool
+	mayHaveRun          bool // set by scheduleResend
 }
 
 const (
-	// resendDelay is the time that a client waits before it sends a job again whose
-	// outcome is unknown.
+	// resendDelay is the time that a client waits before it resends a job whose outcome is
+	// unknown or for which no host was available.
 	resendDelay = 1300 * time.Millisecond
 	// A client waits for its answer for timeoutBase plus timeoutFactor times its latency
 	// objective.
@@ -68,17 +72,17 @@
 func (sim *Simulation) scheduleArrivals() {
 	for i := range sim.Kinds {
 		k := &sim.Kinds[i]
-		sim.scheduleNextJob(k, sim.start)
+		sim.scheduleNextJob(k, sim.loadStart)
 	}
 }
 
-// scheduleNextJob schedules the next job of a kind after a moment, with exponentially
-// distributed intervals.
+// scheduleNextJob schedules the next job of a kind at an exponentially distributed interval
+// after from, which is the time of the previous job of the kind or the start of the load.
 func (sim *Simulation) scheduleNextJob(k *JobKind, from time.Time) {
 	rate := k.Rate * sim.LoadFactor * sim.burstFactor(k.Name, from)
 	interval := time.Duration(sim.jobRandom.ExpFloat64() / max(rate, 1e-9) * float64(time.Second))
 	at := from.Add(interval)
-	if at.After(sim.start.Add(sim.LoadDuration)) {
+	if at.After(sim.loadStart.Add(sim.LoadDuration)) {
 		return
 	}
 	sim.schedule(at.Sub(sim.now), func() {
@@ -89,7 +93,7 @@
 
 // submitNewJob draws a job of a kind and sends it.
 func (sim *Simulation) submitNewJob(k *JobKind) {
-	sim.lastNumber++
+	sim.lastIDNumber++
 	normalRandom := sim.jobRandom.NormFloat64
 	taskSeconds := k.MeanRunTime.Seconds() * math.Exp(k.RunTimeSpread*normalRandom()-k.RunTimeSpread*k.RunTimeSpread/2)
 	count := int(math.Round(k.MeanTasks * math.Exp(0.4*normalRandom()-0.08)))
@@ -97,7 +101,7 @@
 	need := k.Need
 	need.CPU = min(int(float64(need.CPU)*math.Exp(0.2*normalRandom())), need.CPU*3/2)
 	c := &client{
-		sim: sim, id: fmt.Sprintf("%016x", sim.lastNumber), kind: k, taskSeconds: taskSeconds, sentAt: sim.now,
+		sim: sim, id: fmt.Sprintf("%016x", sim.lastIDNumber), kind: k, taskSeconds: taskSeconds, sentAt: sim.now,
 		zone: sim.Size.Zones[sim.jobRandom.IntN(len(sim.Size.Zones))],
 	}
 	maxFactor := 0.0
@@ -118,9 +122,10 @@
 	c.send()
 }
 
-// send submits the job to a host of the client's zone, or to any host if there is none in
-// the zone. It records a violation if a host that runs without pause does not answer
-// within a second after the client's timeout.
+// send submits the job to a random host of the client's zone that is up and not leaving, or
+// of the first other zone that has such a host. If no zone has one, it schedules a resend. It
+// records a violation if there is no answer within a second after the client's timeout,
+// although the host is up and was not paused in the meantime.
 func (c *client) send() {
 	sim := c.sim
 	var hosts []*host
@@ -141,8 +146,8 @@
 	c.attempts++
 	h := hosts[sim.random.IntN(len(hosts))]
 	c.host = h
-	c.requestID = uint64(sim.lastNumber)<<8 | uint64(c.attempts)
-	sim.lastNumber++
+	c.requestID = uint64(sim.lastIDNumber)<<8 | uint64(c.attempts)
+	sim.lastIDNumber++
 	remaining := c.timeout - sim.now.Sub(c.sentAt)
 	requestID, sentAt := c.requestID, sim.now
 	h.schedule(clientDelay, func() { h.step(router.Submit{Request: requestID, Job: c.job, Budget: remaining}) })
@@ -157,8 +162,9 @@
 // clientDelay is the one-way network delay between a client and a host.
 const clientDelay = time.Millisecond
 
-// scheduleResend schedules another attempt after resendDelay unless the client's timeout
-// is over by then. The job may have run.
+// scheduleResend schedules a resend of a job whose outcome is unknown or for which no host
+// was available. The client resends after resendDelay, or gives up if its timeout is over by
+// then. From now on the job counts as one that may have run, also if no host was available.
 func (c *client) scheduleResend() {
 	c.mayHaveRun = true
 	c.host = nil
@@ -173,9 +179,9 @@
 	})
 }
 
-// retryAfterRefusal sends a refused job again after the delay in the answer.
+// retryAfterRefusal schedules the retry of a refused job after the delay in the answer.
 func (c *client) retryAfterRefusal(delay time.Duration) {
-	c.wasResent, c.host = true, nil
+	c.retriedAfterRefusal, c.host = true, nil
 	c.sim.Results.Retried++
 	c.sim.schedule(delay+clientDelay, func() {
 		if !c.ended {
@@ -184,7 +190,8 @@
 	})
 }
 
-// handleBrokenConnection makes the client resend its job.
+// handleBrokenConnection handles the end of the host that the client waits for. The outcome
+// of the job is unknown.
 func (c *client) handleBrokenConnection() { c.scheduleResend() }
 
 func (sim *Simulation) clientsWaitingAt(h *host) []*client {
@@ -197,7 +204,9 @@
 	return clients
 }
 
-// handleAnswer applies a host's answer to its client and checks that it is true.
+// handleAnswer applies a host's answer to its client. It checks that all tasks of a completed
+// job are done, and that no run of a refused job was started, unless an earlier attempt may have
+// run.
 func (sim *Simulation) handleAnswer(h *host, e router.Answer) {
 	c := sim.clients[e.Verdict.ID]
 	if c == nil || c.ended || c.host != h || c.requestID != e.Request {
@@ -215,9 +224,9 @@
 		sim.Results.recordComplete(c, responseTime)
 	case router.Refused:
 		if sim.startCounts[c.id] > 0 && !c.mayHaveRun {
-			sim.recordViolation("job %s was refused as not run (%s) after %d starts", c.id, e.Verdict.Reason, sim.startCounts[c.id])
+			sim.recordViolation("job %s was refused as not run (reason %s), but %d of its runs had been started", c.id, e.Verdict.Reason, sim.startCounts[c.id])
 		}
-		if sim.RetryRefusedJobs && !c.wasResent {
+		if sim.RetryRefusedJobs && !c.retriedAfterRefusal {
 			c.retryAfterRefusal(e.Verdict.RetryAfter)
 			return
 		}
@@ -232,38 +241,42 @@
 	}
 }
 
-func (sim *Simulation) recordFinishedTask(task string) {
-	id, index := jobID(task), task[strings.LastIndexByte(task, '.')+1:]
+func (sim *Simulation) recordFinishedTask(taskID string) {
+	id, index := jobID(taskID), taskID[strings.LastIndexByte(taskID, '.')+1:]
 	if sim.finishedTasks[id] == nil {
 		sim.finishedTasks[id] = make(map[string]bool)
 	}
 	sim.finishedTasks[id][index] = true
 }
 
-func jobID(task string) string {
-	id, _, _ := strings.Cut(task, ".")
+// jobID returns the ID of a task's job. A task ID consists of the job ID, a dot and the index of
+// the task.
+func jobID(taskID string) string {
+	id, _, _ := strings.Cut(taskID, ".")
 	return id
 }
 
-func (sim *Simulation) jobOf(task string) *router.Job { return &sim.clients[jobID(task)].job }
+func (sim *Simulation) jobOf(taskID string) *router.Job { return &sim.clients[jobID(taskID)].job }
 
 // runTimeOf returns the run time of a task at a target.
-func (sim *Simulation) runTimeOf(task string, t *target) time.Duration {
-	c := sim.clients[jobID(task)]
-	index, err := strconv.Atoi(task[strings.LastIndexByte(task, '.')+1:])
+func (sim *Simulation) runTimeOf(taskID string, t *target) time.Duration {
+	c := sim.clients[jobID(taskID)]
+	index, err := strconv.Atoi(taskID[strings.LastIndexByte(taskID, '.')+1:])
 	if err != nil || index >= len(c.taskFactors) {
-		sim.recordViolation("task %s was started, but its job has no such task", task)
+		sim.recordViolation("task %s was started, but its job has no such task", taskID)
 		return time.Millisecond
 	}
-	return time.Duration(c.taskSeconds * c.taskFactors[index] * t.slow * float64(time.Second))
+	return time.Duration(c.taskSeconds * c.taskFactors[index] * t.slowFactor * float64(time.Second))
 }
 
-// checkFinalState checks that no job was started after it was refused as not run.
-func (sim *Simulation) checkFinalState() {
+// checkRefusedJobsNotStarted checks at the end of the simulation that no run of a job that was
+// refused as not run has been started. It leaves out jobs that may have run in an attempt
+// whose outcome is unknown.
+func (sim *Simulation) checkRefusedJobsNotStarted() {
 	for _, id := range sortedKeys(sim.clients) {
 		c := sim.clients[id]
 		if c.wasRefused && !c.mayHaveRun && sim.startCounts[id] > 0 {
-			sim.recordViolation("job %s was refused as not run and started later", id)
+			sim.recordViolation("job %s was refused as not run, but at least one of its runs has been started", id)
 		}
 	}
 }
--- a/internal/modeler/fault.go
+++ b/internal/modeler/fault.go
@@ -17,16 +17,16 @@
 	KillHost         FaultKind = "kill"         // the process of a host ends and starts again
 	PauseHost        FaultKind = "freeze"       // the process of a host is paused
 	RestartHost      FaultKind = "restart"      // a host shuts down gracefully and starts again
-	PartitionHost    FaultKind = "cut-host"     // a host cannot reach other hosts
-	PartitionStore   FaultKind = "cut-store"    // a host cannot reach the store
-	PartitionZone    FaultKind = "cut-zone"     // a zone cannot reach the other zones and the store
+	PartitionHost    FaultKind = "cut-host"     // a host and the other hosts cannot reach each other
+	PartitionStore   FaultKind = "cut-store"    // a host and the store cannot reach each other
+	PartitionZone    FaultKind = "cut-zone"     // a zone is cut off from the other zones and the store
 	StoreUnavailable FaultKind = "store-down"   // the store does not answer
 	StoreSlow        FaultKind = "store-slow"   // calls take 50 times as long
 	StoreAnswersLost FaultKind = "store-lost"   // writes take effect but are not answered
 	KillTarget       FaultKind = "kill-target"  // a target ends and starts again empty
-	FailTarget       FaultKind = "fail-target"  // every task fails at once
-	HangTarget       FaultKind = "hang-target"  // tasks make no progress
-	SlowTarget       FaultKind = "slow-target"  // tasks take six times as long
+	FailTarget       FaultKind = "fail-target"  // every new run fails after 1 ms
+	HangTarget       FaultKind = "hang-target"  // new runs never end, and all runs report no progress
+	SlowTarget       FaultKind = "slow-target"  // new runs take six times as long
 	DrainTarget      FaultKind = "drain-target" // a target is drained and leaves
 	KillAllHosts     FaultKind = "kill-all"     // the processes of all hosts end and start again
 	Burst            FaultKind = "surge"        // jobs arrive at RateFactor times their rate
@@ -76,15 +76,15 @@
 	}
 }
 
-// pickHost returns the host that a fault affects.
-func (sim *Simulation) pickHost(where string) *host {
+// pickHost returns the host that a fault with this selector affects.
+func (sim *Simulation) pickHost(selector string) *host {
 	for _, h := range sim.hosts {
-		if h.name == where {
+		if h.name == selector {
 			return h
 		}
 	}
 	best := sim.hosts[sim.random.IntN(len(sim.hosts))]
-	if where != "holder" {
+	if selector != "holder" {
 		return best
 	}
 	for _, h := range sim.hosts {
@@ -133,12 +133,12 @@
 	}
 }
 
-// partition blocks messages between two places in both directions for a period.
+// partition blocks messages between two places, in both directions, for a duration.
 func (sim *Simulation) partition(a, b string, duration time.Duration) {
-	sim.partitions[[2]string{a, b}], sim.partitions[[2]string{b, a}] = true, true
+	sim.blockedPaths[[2]string{a, b}], sim.blockedPaths[[2]string{b, a}] = true, true
 	sim.schedule(duration, func() {
-		delete(sim.partitions, [2]string{a, b})
-		delete(sim.partitions, [2]string{b, a})
+		delete(sim.blockedPaths, [2]string{a, b})
+		delete(sim.blockedPaths, [2]string{b, a})
 	})
 }
 
@@ -161,13 +161,13 @@
 	s := sim.store
 	switch f.Kind {
 	case StoreUnavailable:
-		s.down = true
+		s.unavailable = true
 	case StoreSlow:
 		s.latency = 50 * storeRoundTrip
 	case StoreAnswersLost:
 		s.dropsAnswers = true
 	}
-	sim.schedule(f.Duration, func() { s.down, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
+	sim.schedule(f.Duration, func() { s.unavailable, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
 }
 
 func (sim *Simulation) injectTargetFault(f Fault, t *target) {
@@ -204,7 +204,7 @@
 func (sim *Simulation) burstFactor(kind string, at time.Time) float64 {
 	factor := 1.0
 	for _, f := range sim.Faults {
-		since := at.Sub(sim.start)
+		since := at.Sub(sim.loadStart)
 		if f.Kind == Burst && since >= f.At && since < f.At+f.Duration && (f.Selector == "" || f.Selector == kind) {
 			factor *= f.RateFactor
 		}
--- a/internal/modeler/host.go
+++ b/internal/modeler/host.go
@@ -97,8 +97,8 @@
 	h.schedule(configInterval, func() { h.watchConfig(incarnation) })
 }
 
-// configInterval bounds the time until a host sees a new configuration: a watch and its
-// answer.
+// configInterval is the interval at which a host reads the configuration. It stands for the
+// time that a watch of the store and its answer take.
 const configInterval = 200 * time.Millisecond
 
 // step passes an event to the router and executes the effects.
@@ -153,7 +153,8 @@
 	}
 }
 
-// send sends a message to another host if the link to it is open.
+// send sends a message to another host if the link to it is open. If that host's process has
+// ended, the link breaks and is dialled again.
 func (h *host) send(e router.Send) {
 	sim := h.sim
 	to := sim.hostsByAddress[e.To]
@@ -219,6 +220,6 @@
 // traceDecision passes a decision to Simulation.Trace.
 func (h *host) traceDecision(e router.Decision) {
 	if h.sim.Trace != nil {
-		h.sim.Trace(h.sim.now.Sub(h.sim.start), h.name, e)
+		h.sim.Trace(h.sim.now.Sub(h.sim.loadStart), h.name, e)
 	}
 }
--- a/internal/modeler/scenario.go
+++ b/internal/modeler/scenario.go
@@ -174,10 +174,10 @@
 	P99 time.Duration `json:"p99"`
 }
 
-// Run simulates all policies, loads and seeds, up to jobs simulations in parallel. It calls
-// progress after each simulation. It returns a row for each load and policy,
-// in the order of Loads and then of Policies.
-func (v *Scenario) Run(jobs int, progress func(done, total int)) []PolicyResult {
+// Run simulates all policies, loads and seeds, up to maxParallel simulations in parallel. It
+// calls progress after each simulation. It returns a row for each load and policy, in the
+// order of Loads and then of Policies.
+func (v *Scenario) Run(maxParallel int, progress func(done, total int)) []PolicyResult {
 	var simulations []*scenarioRun
 	for _, load := range v.Loads {
 		for _, name := range v.Policies {
@@ -186,7 +186,7 @@
 			}
 		}
 	}
-	r := &runner{total: len(simulations), progress: progress, slots: make(chan struct{}, max(jobs, 1))}
+	r := &runner{total: len(simulations), progress: progress, slots: make(chan struct{}, max(maxParallel, 1))}
 	for _, t := range simulations {
 		r.slots <- struct{}{}
 		t.runner = r
@@ -221,7 +221,7 @@
 	seed     uint64
 	runner   *runner
 
-	tally      Results
+	results    Results
 	capacity   float64
 	violations []string
 }
@@ -235,7 +235,7 @@
 		}
 	}
 	sim.Run()
-	t.tally, t.capacity, t.violations = sim.Results, sim.capacity(), sim.Violations
+	t.results, t.capacity, t.violations = sim.Results, sim.capacity(), sim.Violations
 	t.runner.mutex.Lock()
 	t.runner.done++
 	t.runner.progress(t.runner.done, t.runner.total)
--- a/internal/modeler/scenario_test.go
+++ b/internal/modeler/scenario_test.go
@@ -96,7 +96,7 @@
 		var list []*scenarioRun
 		for _, v := range values {
 			t := &scenarioRun{}
-			t.tally.Kinds = map[string]*KindCount{"k": {Achieved: v, Possible: 1}}
+			t.results.Kinds = map[string]*KindCount{"k": {Achieved: v, Possible: 1}}
 			list = append(list, t)
 		}
 		return list
--- a/internal/modeler/site.go
+++ b/internal/modeler/site.go
@@ -6,7 +6,7 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// DefaultKinds returns the traffic of a site at a load of 1. The argument is the CPU need of a
+// DefaultKinds returns the kinds of job of a site, with their rates at a load of 1. The argument is the CPU need of a
 // task in thousandths of a core.
 func DefaultKinds(cpu int) []JobKind {
 	need := router.Resources{CPU: cpu, Memory: 64}
--- a/internal/modeler/store.go
+++ b/internal/modeler/store.go
@@ -11,7 +11,7 @@
 // store simulates the platform's store.
 type store struct {
 	sim          *Simulation
-	down         bool
+	unavailable  bool
 	dropsAnswers bool // writes take effect but are not answered
 	latency      time.Duration
 	version      uint64
@@ -42,7 +42,7 @@
 // reach the store.
 func (s *store) invoke(h *host, operation func()) bool {
 	sim := s.sim
-	if s.down || !sim.canReach(h.name, h.zone, "store", "store") {
+	if s.unavailable || !sim.canReach(h.name, h.zone, "store", "store") {
 		return false
 	}
 	sim.schedule(s.latency, operation)
@@ -99,7 +99,7 @@
 	return time.Duration(token*token%maxMillis) * time.Millisecond
 }
 
-// applyClaims writes claims if none of their rows has a new version.
+// applyClaims writes claims if each of their rows still has the expected version.
 func (s *store) applyClaims(e router.WriteClaims) router.ClaimsWritten {
 	written := router.ClaimsWritten{Token: e.Token, Result: router.ClaimWon}
 	for _, row := range e.Rows {
--- a/internal/modeler/summary.go
+++ b/internal/modeler/summary.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// worstSpanSeconds is the length of the windows for PolicyResult.WorstBenefit.
-const worstSpanSeconds = 2
+// worstWindowSeconds is the length of the windows for PolicyResult.WorstBenefit.
+const worstWindowSeconds = 2
 
 // summarize merges the simulations of one policy under one load.
 func summarize(simulations []*scenarioRun) PolicyResult {
@@ -16,18 +16,18 @@
 	kinds := make(map[string]*KindCount)
 	seconds := make(map[int]*Benefit)
 	for _, t := range simulations {
-		tally := &t.tally
-		row.Benefit += tally.BenefitRatio() / n
-		row.WorstBenefit += tally.WorstBenefitRatio(worstSpanSeconds) / n
-		row.MaxBenefit += tally.MaxBenefitRatio(t.capacity) / n
+		results := &t.results
+		row.Benefit += results.BenefitRatio() / n
+		row.WorstBenefit += results.WorstBenefitRatio(worstWindowSeconds) / n
+		row.MaxBenefit += results.MaxBenefitRatio(t.capacity) / n
 		row.Violations = append(row.Violations, t.violations...)
-		for zone, b := range tally.Zones {
+		for zone, b := range results.Zones {
 			addBenefit(zones, zone, b.Achieved, b.Possible)
 		}
-		for second, possible := range tally.Possible {
-			addBenefit(seconds, second, tally.Achieved[second], possible)
+		for second, possible := range results.Possible {
+			addBenefit(seconds, second, results.Achieved[second], possible)
 		}
-		for name, count := range tally.Kinds {
+		for name, count := range results.Kinds {
 			if kinds[name] == nil {
 				kinds[name] = &KindCount{}
 			}
@@ -60,7 +60,7 @@
 	n := float64(len(simulations))
 	squareSum := 0.0
 	for i, t := range simulations {
-		difference := t.tally.BenefitRatio() - base[i].tally.BenefitRatio()
+		difference := t.results.BenefitRatio() - base[i].results.BenefitRatio()
 		gain += difference / n
 		squareSum += difference * difference / n
 	}
@@ -70,12 +70,12 @@
 	return gain, deviations * math.Sqrt(max(squareSum-gain*gain, 0)/(n-1))
 }
 
-func addBenefit[K comparable](balances map[K]*Benefit, key K, achieved, possible float64) {
-	if balances[key] == nil {
-		balances[key] = &Benefit{}
+func addBenefit[K comparable](benefits map[K]*Benefit, key K, achieved, possible float64) {
+	if benefits[key] == nil {
+		benefits[key] = &Benefit{}
 	}
-	balances[key].Achieved += achieved
-	balances[key].Possible += possible
+	benefits[key].Achieved += achieved
+	benefits[key].Possible += possible
 }
 
 // merge adds the counts of another simulation.
@@ -97,7 +97,7 @@
 	cores := 0.0
 	for _, name := range sim.targetIDs {
 		t := sim.targets[name]
-		cores += float64(t.entry.Capacity.CPU) / milliPerCore / t.slow
+		cores += float64(t.entry.Capacity.CPU) / milliPerCore / t.slowFactor
 	}
 	maxObjective := time.Duration(0)
 	for _, c := range sim.clients {
--- a/internal/modeler/tally.go
+++ b/internal/modeler/tally.go
@@ -14,8 +14,8 @@
 	// Tasks is the number of tasks of completed jobs.
 	Tasks int
 	Kinds map[string]*KindCount
-	// Retried counts the jobs that were sent again after a refusal, and CompletedRetries those
-	// of them that were completed then.
+	// Retried counts the jobs that were retried after a refusal, and CompletedRetries those of
+	// them that were then completed.
 	Retried, CompletedRetries int
 	// Achieved and Possible are the benefit achieved and the benefit possible, by the second of
 	// the load in which the job was sent.
@@ -39,8 +39,8 @@
 	Achieved, Possible                           float64
 	ResponseTimes                                []time.Duration
 	Reasons                                      map[router.Reason]int
-	// Work is the work of each job in seconds, and Completed tells by the index of the
-	// job whether it was completed.
+	// Work is the work of each job in seconds, and Completed says whether the job
+	// with an index in Work was completed.
 	Work      []float64
 	Completed map[int]bool
 }
@@ -59,10 +59,10 @@
 	return n
 }
 
-func (c *client) sentSecond() int { return int(c.sentAt.Sub(c.sim.start) / time.Second) }
+func (c *client) sentSecond() int { return int(c.sentAt.Sub(c.sim.loadStart) / time.Second) }
 
 // benefit returns the benefit of an answer in time: a fixed part and a part in proportion
-// to the job's work, at most four times the mean.
+// to the job's work, together at most four times the benefit for a job with the mean work.
 func (c *client) benefit() float64 {
 	const fixedShare, maxFactor = 0.3, 4
 	meanWork := c.kind.MeanRunTime.Seconds() * c.kind.MeanTasks
@@ -92,7 +92,7 @@
 	n.ResponseTimes = append(n.ResponseTimes, responseTime)
 	n.Completed[c.index] = true
 	t.Tasks += c.job.Count
-	if c.wasResent {
+	if c.retriedAfterRefusal {
 		t.CompletedRetries++
 	}
 	benefit := 0.0
--- a/internal/modeler/target.go
+++ b/internal/modeler/target.go
@@ -11,7 +11,7 @@
 type target struct {
 	sim         *Simulation
 	entry       router.Target
-	slow        float64 // factor of run times
+	slowFactor  float64 // factor of run times
 	up          bool
 	incarnation int
 	// drift is the relative error of the target's clock.
@@ -21,7 +21,7 @@
 	runs            map[string]*run
 	unackedEnds     []router.End
 	lastEndNumber   int
-	closedRuns      map[string]int // by task, the highest number of a run that ended or was stopped
+	closedRuns      map[string]int // by task ID, the highest number of a run that ended or was stopped
 	used            router.Resources
 	mode            mode
 	waitingRenewals []func()
@@ -32,13 +32,13 @@
 
 const (
 	normal  mode = ""
-	failing mode = "failing" // every task fails at once
-	hanging mode = "hanging" // tasks make no progress
-	slowed  mode = "slowed"  // tasks take six times as long
+	failing mode = "failing" // every new run fails after 1 ms
+	hanging mode = "hanging" // new runs never end, and all runs report no progress
+	slowed  mode = "slowed"  // new runs take six times as long
 )
 
 type run struct {
-	task      string
+	taskID    string
 	number    int
 	need      router.Resources
 	startedAt time.Time
@@ -50,13 +50,13 @@
 type orderHandler func() router.StartResult
 
 func (sim *Simulation) addTarget(id, zone string, index int) {
-	capacity, slow, label := sim.Size.TargetCapacity, 1.0, "a"
+	capacity, slowFactor, label := sim.Size.TargetCapacity, 1.0, "a"
 	if index%3 == 2 {
 		capacity.CPU, capacity.Memory = capacity.CPU*3/2, capacity.Memory*3/2
-		slow, label = sim.Size.SlowFactor, "b"
+		slowFactor, label = sim.Size.SlowFactor, "b"
 	}
 	t := &target{
-		sim: sim, slow: slow, drift: (sim.random.Float64() - 0.5) * 0.04,
+		sim: sim, slowFactor: slowFactor, drift: (sim.random.Float64() - 0.5) * 0.04,
 		entry: router.Target{
 			ID: id, Address: "10.128.0.1:1", Service: "work", Zone: zone, Capacity: capacity, Labels: []string{label, "rack"},
 		},
@@ -131,7 +131,8 @@
 	return runs
 }
 
-// acceptToken reports whether a token is at least as high as any before, and stores it if so.
+// acceptToken reports whether a token is at least as high as all earlier tokens, and stores
+// it if so.
 func (t *target) acceptToken(token uint64) bool {
 	if token < t.token {
 		return false
@@ -162,7 +163,7 @@
 			return router.NoCapacity
 		}
 		sim.recordStart(t, h, e)
-		r := &run{task: e.Task, number: e.Run, need: need, startedAt: sim.now, duration: sim.runTimeOf(e.Task, t)}
+		r := &run{taskID: e.Task, number: e.Run, need: need, startedAt: sim.now, duration: sim.runTimeOf(e.Task, t)}
 		t.runs[e.Task] = r
 		t.used = addResources(t.used, need)
 		t.scheduleEnd(r)
@@ -184,7 +185,7 @@
 		r.duration = duration
 	}
 	sim.schedule(duration, func() {
-		if t.runs[r.task] == r {
+		if t.runs[r.taskID] == r {
 			t.endRun(r, reason)
 		}
 	})
@@ -196,18 +197,18 @@
 
 // endRun ends a run, records the reason and answers the renewals that wait for an end.
 func (t *target) endRun(r *run, reason router.EndReason) {
-	if r.ended || t.runs[r.task] != r {
+	if r.ended || t.runs[r.taskID] != r {
 		return
 	}
 	r.ended = true
-	delete(t.runs, r.task)
+	delete(t.runs, r.taskID)
 	t.used = t.used.Minus(r.need)
-	t.closedRuns[r.task] = max(t.closedRuns[r.task], r.number)
+	t.closedRuns[r.taskID] = max(t.closedRuns[r.taskID], r.number)
 	t.lastEndNumber++
-	t.unackedEnds = append(t.unackedEnds, router.End{Number: t.lastEndNumber, Task: r.task, Run: r.number, Reason: reason})
+	t.unackedEnds = append(t.unackedEnds, router.End{Number: t.lastEndNumber, Task: r.taskID, Run: r.number, Reason: reason})
 	t.sim.recordEnd(t, r)
 	if reason == router.EndDone {
-		t.sim.recordFinishedTask(r.task)
+		t.sim.recordFinishedTask(r.taskID)
 	}
 	waiting := t.waitingRenewals
 	t.waitingRenewals = nil
@@ -245,12 +246,12 @@
 		if t.mode != hanging {
 			percent = min(99, float64(t.sim.now.Sub(r.startedAt))/float64(r.duration)*100)
 		}
-		answer.Running = append(answer.Running, router.RunningTask{Task: r.task, Run: r.number, Percent: float64(int(percent))})
+		answer.Running = append(answer.Running, router.RunningTask{Task: r.taskID, Run: r.number, Percent: float64(int(percent))})
 	}
 	return answer
 }
 
-// sendOrder simulates an order: its way to the target, its execution, and the answer.
+// sendOrder simulates the delivery of an order, its execution at the target and the answer.
 func (sim *Simulation) sendOrder(h *host, to router.Target, timeout time.Duration, handlerOf func(*target) orderHandler, reply func(router.StartResult, router.Reading) router.Event) {
 	answered := false
 	answer := func(result router.StartResult, clock router.Reading) {
@@ -336,7 +337,7 @@
 	})
 }
 
-// answerRenewal answers a renewal immediately if it does not wait or there are ends to
+// answerRenewal answers a renewal immediately if it does not wait or if there are ends to
 // report, otherwise at the next end of a run or when its waiting time is over.
 func (t *target) answerRenewal(e router.Renew, reply func()) {
 	isReady := e.Wait == 0
@@ -363,9 +364,9 @@
 	if at := sim.runningTasks[e.Task]; at != "" {
 		sim.recordViolation("two runs of %s: at %s, and run %d at %s by %s", e.Task, at, e.Run, t.entry.ID, h.name)
 	}
-	sim.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, sim.now.Sub(sim.start).Seconds())
+	sim.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, sim.now.Sub(sim.loadStart).Seconds())
 	sim.startCounts[jobID(e.Task)]++
 	sim.Results.Starts++
 }
 
-func (sim *Simulation) recordEnd(_ *target, r *run) { delete(sim.runningTasks, r.task) }
+func (sim *Simulation) recordEnd(_ *target, r *run) { delete(sim.runningTasks, r.taskID) }
--- a/internal/modeler/world.go
+++ b/internal/modeler/world.go
@@ -13,13 +13,14 @@
 	"github.com/shallotrouter/shallotrouter/internal/router"
 )
 
-// DeploymentSize is the size of a deployment.
+// DeploymentSize describes the zones, hosts, targets and network delays of a deployment.
 type DeploymentSize struct {
 	Zones          []string
 	HostsPerZone   int
 	TargetsPerZone int
-	// TargetCapacity is the capacity of a default target. Every third target has 1.5 times this
-	// capacity, and its run times are multiplied by SlowFactor.
+	// TargetCapacity is the capacity of a default target. Every third target of a zone is large
+	// and slow: it has 1.5 times this CPU and memory, and its run times are multiplied by
+	// SlowFactor.
 	TargetCapacity router.Resources
 	SlowFactor     float64
 	// InterZoneDelay is the one-way network delay between zones, IntraZoneDelay the
@@ -44,7 +45,8 @@
 	Policy router.Policy
 	// LateOrderShare is the share of orders that targets execute 2 to 11 s late and do not answer.
 	LateOrderShare float64
-	// RetryRefusedJobs makes clients retry a refused job once, after the delay in the answer.
+	// RetryRefusedJobs makes each client retry its job once if it is refused, after the delay in
+	// the answer.
 	RetryRefusedJobs bool
 	// LostAnswerShare is the share of orders and renewals that targets execute without their answer
 	// reaching the host.
@@ -55,7 +57,7 @@
 	Trace func(at time.Duration, host string, e router.Decision)
 
 	now            time.Time
-	start          time.Time
+	loadStart      time.Time
 	events         eventQueue
 	lastSequence   uint64
 	random         *rand.Rand
@@ -66,12 +68,12 @@
 	targets        map[string]*target
 	targetIDs      []string
 	store          *store
-	partitions     map[[2]string]bool
-	runningTasks   map[string]string // by task, a description of its run
-	startCounts    map[string]int    // by job ID
-	finishedTasks  map[string]map[string]bool
-	clients        map[string]*client
-	lastNumber     int
+	blockedPaths   map[[2]string]bool         // by the sending and the receiving place, see canReach
+	runningTasks   map[string]string          // by task ID, a description of its run
+	startCounts    map[string]int             // started runs by job ID
+	finishedTasks  map[string]map[string]bool // by job ID and index of the task
+	clients        map[string]*client         // by job ID
+	lastIDNumber   int                        // for job IDs and request IDs
 	// Violations lists the violations of invariants, at most 20.
 	Violations []string
 	Results    Results
@@ -125,13 +127,13 @@
 // Run simulates the deployment to the end of its drain period.
 func (sim *Simulation) Run() {
 	sim.startClock()
-	sim.start = sim.now.Add(sim.WarmUpDuration)
+	sim.loadStart = sim.now.Add(sim.WarmUpDuration)
 	sim.random = rand.New(rand.NewPCG(sim.Seed, 1))
 	sim.jobRandom = rand.New(rand.NewPCG(sim.Seed, 2))
 	sim.networkRandom = rand.New(rand.NewPCG(sim.Seed, 3))
 	sim.hostsByAddress = make(map[string]*host)
 	sim.targets = make(map[string]*target)
-	sim.partitions = make(map[[2]string]bool)
+	sim.blockedPaths = make(map[[2]string]bool)
 	sim.runningTasks = make(map[string]string)
 	sim.startCounts = make(map[string]int)
 	sim.finishedTasks = make(map[string]map[string]bool)
@@ -142,7 +144,7 @@
 	for _, f := range sim.Faults {
 		sim.scheduleFault(f)
 	}
-	end := sim.start.Add(sim.LoadDuration + sim.DrainDuration)
+	end := sim.loadStart.Add(sim.LoadDuration + sim.DrainDuration)
 	for len(sim.events) > 0 {
 		e := heap.Pop(&sim.events).(scheduledEvent)
 		if e.at.After(end) {
@@ -151,7 +153,7 @@
 		sim.now = e.at
 		e.action()
 	}
-	sim.checkFinalState()
+	sim.checkRefusedJobsNotStarted()
 }
 
 // createDeployment creates the targets and the hosts, and starts each host at a random
@@ -171,14 +173,15 @@
 	}
 }
 
-// recordViolation adds the violation of an invariant with its time.
+// recordViolation adds the violation of an invariant, with its time after the start of the
+// load, unless there are 20 already.
 func (sim *Simulation) recordViolation(format string, args ...any) {
 	if len(sim.Violations) < 20 {
-		sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f s: ", sim.now.Sub(sim.start).Seconds())+fmt.Sprintf(format, args...))
+		sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f s: ", sim.now.Sub(sim.loadStart).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// delay returns the one-way network delay between two zones, with a jitter of up to
+// delay returns the one-way network delay between two zones plus a jitter of less than
 // 200 µs.
 func (sim *Simulation) delay(a, b string) time.Duration {
 	d := sim.Size.InterZoneDelay
@@ -188,12 +191,12 @@
 	return d + time.Duration(sim.networkRandom.Int64N(int64(200*time.Microsecond)))
 }
 
-// canReach reports whether no partition blocks messages from one place to another.
-// Places are zones, names of hosts and targets, and "store".
+// canReach reports whether no partition blocks messages from one place to another. A place
+// is a zone, the name of a host, the ID of a target, or "store".
 func (sim *Simulation) canReach(from, fromZone, to, toZone string) bool {
 	for _, a := range []string{from, fromZone} {
 		for _, b := range []string{to, toZone} {
-			if a != b && sim.partitions[[2]string{a, b}] {
+			if a != b && sim.blockedPaths[[2]string{a, b}] {
 				return false
 			}
 		}
