--- a/internal/bencher/back.go
+++ b/internal/bencher/back.go
@@ -8,8 +8,8 @@
 )
 
 // target returns the target with the given name.
-func (sim *Simulation) target(name string) *Target {
-	for _, b := range sim.AllTargets {
+func (sm *Simulation) target(name string) *Target {
+	for _, b := range sm.AllTargets {
 		if b.Name == name {
 			return b
 		}
@@ -18,17 +18,17 @@
 }
 
 // sendTask sends a task to its target.
-func (sim *Simulation) sendTask(n *EntryHost, e scheduler.Start) {
-	sim.Results.TasksSent++
-	sent := sim.now
-	sub := sim.submissionsByKey[sim.ticketKey(n, e.Number)].sub
-	sim.Schedule(sim.IntraZoneDelay, func() { sim.handleStart(n, e, sub, sent) })
+func (sm *Simulation) sendTask(n *EntryHost, e scheduler.Start) {
+	sm.Results.TasksSent++
+	sent := sm.now
+	sub := sm.submissionsByKey[sm.ticketKey(n, e.Number)].sub
+	sm.Schedule(sm.IntraZoneDelay, func() { sm.handleStart(n, e, sub, sent) })
 }
 
 // ticketKey returns the key of a ticket. It is unique among all incarnations of all
 // hosts, since a restarted host is a new entry of EntryHosts.
-func (sim *Simulation) ticketKey(n *EntryHost, number uint64) uint64 {
-	for i, other := range sim.EntryHosts {
+func (sm *Simulation) ticketKey(n *EntryHost, number uint64) uint64 {
+	for i, other := range sm.EntryHosts {
 		if other == n {
 			return uint64(i)<<ticketKeyShift | number
 		}
@@ -49,46 +49,46 @@
 const maxWaitingPerTarget = 52
 
 // handleStart starts a task at its target, queues it there or refuses it.
-func (sim *Simulation) handleStart(n *EntryHost, e scheduler.Start, sub *Submission, sent time.Time) {
-	b := sim.target(e.Target)
+func (sm *Simulation) handleStart(n *EntryHost, e scheduler.Start, sub *Submission, sent time.Time) {
+	b := sm.target(e.Target)
 	answer := func(result scheduler.Result, delay time.Duration) {
-		sim.Schedule(delay, func() {
-			sim.Deliver(n, scheduler.RunEnded{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: sim.now.Sub(sent)})
+		sm.Schedule(delay, func() {
+			sm.Deliver(n, scheduler.RunEnded{Number: e.Number, Task: e.Task, Target: e.Target, Result: result, Message: "stand-in", Elapsed: sm.now.Sub(sent)})
 		})
 	}
 	switch {
 	case b.Exited:
-		answer(scheduler.NotSent, sim.IntraZoneDelay)
+		answer(scheduler.NotSent, sm.IntraZoneDelay)
 	case b.Leaving:
-		sim.Results.checkLeaving(n, b)
-		answer(scheduler.Leaving, sim.IntraZoneDelay)
-	case sim.now.After(e.StartBy):
-		answer(scheduler.OrderExpired, sim.IntraZoneDelay)
-	case b.running < sim.Slots:
-		sim.startTask(b, e, sub, answer)
-	case len(b.waiting) >= maxWaitingPerTarget || sim.RefuseWhenBusy:
-		sim.Results.BusyRefusals++
-		answer(scheduler.Busy, sim.IntraZoneDelay)
+		sm.Results.checkLeaving(n, b)
+		answer(scheduler.Leaving, sm.IntraZoneDelay)
+	case sm.now.After(e.StartBy):
+		answer(scheduler.OrderExpired, sm.IntraZoneDelay)
+	case b.running < sm.Slots:
+		sm.startTask(b, e, sub, answer)
+	case len(b.waiting) >= maxWaitingPerTarget || sm.RefuseWhenBusy:
+		sm.Results.BusyRefusals++
+		answer(scheduler.Busy, sm.IntraZoneDelay)
 	default:
-		sim.queueTask(b, e, sub, answer)
+		sm.queueTask(b, e, sub, answer)
 	}
 }
 
 // queueTask makes a task wait at its target until a slot is free or its start-by
 // time has passed.
-func (sim *Simulation) queueTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
-	arrived := sim.now
+func (sm *Simulation) queueTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
+	arrived := sm.now
 	task := &waitingTask{startBy: e.StartBy}
 	task.start = func() {
-		sim.Results.WaitTimeAtTargets += sim.now.Sub(arrived)
-		sim.startTask(b, e, sub, answer)
+		sm.Results.WaitTimeAtTargets += sm.now.Sub(arrived)
+		sm.startTask(b, e, sub, answer)
 	}
 	b.waiting = append(b.waiting, task)
-	sim.Schedule(e.StartBy.Sub(sim.now), func() {
+	sm.Schedule(e.StartBy.Sub(sm.now), func() {
 		if i := slices.Index(b.waiting, task); i >= 0 {
 			b.waiting = slices.Delete(b.waiting, i, i+1)
-			sim.Results.BusyRefusals++
-			answer(scheduler.OrderExpired, sim.IntraZoneDelay)
+			sm.Results.BusyRefusals++
+			answer(scheduler.OrderExpired, sm.IntraZoneDelay)
 		}
 	})
 }
@@ -104,31 +104,31 @@
 
 // startTask occupies a slot of the target for the run time of the task and sends
 // the result afterwards.
-func (sim *Simulation) startTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
-	sim.Results.recordStart(sub, e.Task)
+func (sm *Simulation) startTask(b *Target, e scheduler.Start, sub *Submission, answer func(scheduler.Result, time.Duration)) {
+	sm.Results.recordStart(sub, e.Task)
 	if b.FailTasks || sub.AlwaysFails {
-		answer(scheduler.Failed, sim.IntraZoneDelay)
+		answer(scheduler.Failed, sm.IntraZoneDelay)
 		return
 	}
 	b.running++
 	runTime := time.Duration(float64(sub.RunTimes[e.Task]) * b.SlowFactor)
-	sim.Results.recordUsage(sub.Client, runTime)
-	sim.Schedule(runTime, func() {
+	sm.Results.recordUsage(sub.Client, runTime)
+	sm.Schedule(runTime, func() {
 		b.running--
 		b.startNext()
 		if b.Exited {
-			answer(sim.lostAnswerResult(), sim.IntraZoneDelay)
+			answer(sm.lostAnswerResult(), sm.IntraZoneDelay)
 			return
 		}
 		sub.endedTasks[e.Task] = true
-		answer(scheduler.Done, sim.IntraZoneDelay)
+		answer(scheduler.Done, sm.IntraZoneDelay)
 	})
 }
 
 // lostAnswerResult returns the result that is reported for a task whose answer was
 // lost.
-func (sim *Simulation) lostAnswerResult() scheduler.Result {
-	if sim.ReportLostAsUnsent {
+func (sm *Simulation) lostAnswerResult() scheduler.Result {
+	if sm.ReportLostAsUnsent {
 		return scheduler.NotSent
 	}
 	return scheduler.NoAnswer
--- a/internal/bencher/scenario.go
+++ b/internal/bencher/scenario.go
@@ -107,13 +107,13 @@
 const messagesPerPoll = 4
 
 // measure returns the results for the jobs that were submitted between two times.
-func (sim *Simulation) measure(client string, clients int, from, to time.Duration) Measurements {
-	t := sim.Results
+func (sm *Simulation) measure(client string, clients int, from, to time.Duration) Measurements {
+	t := sm.Results
 	slowdowns := t.Slowdowns(client, clients, from, to)
 	complete, failed, refused, _ := t.Outcomes(from, to)
 	jobs := float64(complete + failed + refused)
-	seconds := sim.now.Sub(epoch).Seconds()
-	polls := seconds / 2 * float64(len(sim.EntryHosts)) * messagesPerPoll
+	seconds := sm.now.Sub(epoch).Seconds()
+	polls := seconds / 2 * float64(len(sm.EntryHosts)) * messagesPerPoll
 	starts := float64(t.TasksSent - t.BusyRefusals)
 	f := Measurements{
 		Jobs: len(slowdowns), MeanSlowdown: Mean(slowdowns), MedianSlowdown: Quantile(slowdowns, 0.5), P99Slowdown: Quantile(slowdowns, 0.99),
@@ -121,7 +121,7 @@
 		BusyRefusalsPerTask: float64(t.BusyRefusals) / starts,
 		IdleShare:           t.IdleSlotTime.Seconds() / t.ObservedSlotTime.Seconds(),
 		FailedShare:         float64(failed) / jobs, RefusedShare: float64(refused) / jobs,
-		ReportBytesPerSecond: float64(t.ReportBytes) / seconds / float64(len(sim.EntryHosts)),
+		ReportBytesPerSecond: float64(t.ReportBytes) / seconds / float64(len(sm.EntryHosts)),
 		Violations:           t.Violations,
 	}
 	if t.ContendedSlotTime > 0 {
--- a/internal/bencher/workload.go
+++ b/internal/bencher/workload.go
@@ -109,23 +109,23 @@
 }
 
 // AddSource submits the jobs of the source from now on until the simulation ends.
-func (sim *Simulation) AddSource(s JobSource) {
+func (sm *Simulation) AddSource(s JobSource) {
 	meanInterval := meanWork(s.Classes).Seconds() / s.Load
-	sim.scheduleNextJob(s, meanInterval)
+	sm.scheduleNextJob(s, meanInterval)
 }
 
-func (sim *Simulation) scheduleNextJob(s JobSource, meanInterval float64) {
-	delay := time.Duration(sim.Random.ExpFloat64() * meanInterval * float64(time.Second))
-	sim.Schedule(delay, func() {
-		job, runs := RandomJob(sim.Random, s.Classes, s.Deadline)
-		sim.Submit(sim.pickHost(s), s.Client, job, runs).AlwaysFails = s.AlwaysFails
-		sim.scheduleNextJob(s, meanInterval)
+func (sm *Simulation) scheduleNextJob(s JobSource, meanInterval float64) {
+	delay := time.Duration(sm.Random.ExpFloat64() * meanInterval * float64(time.Second))
+	sm.Schedule(delay, func() {
+		job, runs := RandomJob(sm.Random, s.Classes, s.Deadline)
+		sm.Submit(sm.pickHost(s), s.Client, job, runs).AlwaysFails = s.AlwaysFails
+		sm.scheduleNextJob(s, meanInterval)
 	})
 }
 
-func (sim *Simulation) pickHost(s JobSource) *EntryHost {
+func (sm *Simulation) pickHost(s JobSource) *EntryHost {
 	if s.PickHost != nil {
-		return s.PickHost(sim.Random, sim.EntryHosts)
+		return s.PickHost(sm.Random, sm.EntryHosts)
 	}
-	return sim.EntryHosts[sim.Random.IntN(len(sim.EntryHosts))]
+	return sm.EntryHosts[sm.Random.IntN(len(sm.EntryHosts))]
 }
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -171,42 +171,42 @@
 
 // SetPreset creates a new version of the configuration with the preset. A host uses
 // it once it receives it in a scheduler.Adopt event.
-func (sim *Simulation) SetPreset(preset declarer.PresetName) {
-	raw, err := declarer.Row{Text: sim.Declarations, Preset: preset}.Encode()
+func (sm *Simulation) SetPreset(preset declarer.PresetName) {
+	raw, err := declarer.Row{Text: sm.Declarations, Preset: preset}.Encode()
 	if err != nil {
 		panic(err)
 	}
 	version := uint64(1)
-	if sim.Config != nil {
-		version = sim.Config.Version + 1
+	if sm.Config != nil {
+		version = sm.Config.Version + 1
 	}
-	if sim.Config, err = declarer.Decode(version, raw); err != nil {
+	if sm.Config, err = declarer.Decode(version, raw); err != nil {
 		panic(err)
 	}
 }
 
 // AddHost starts an entry host with the current configuration and the targets of its
 // zone.
-func (sim *Simulation) AddHost(name, zone string) *EntryHost {
-	node := &EntryHost{Name: name, Zone: zone, reachableSince: sim.now}
+func (sm *Simulation) AddHost(name, zone string) *EntryHost {
+	node := &EntryHost{Name: name, Zone: zone, reachableSince: sm.now}
 	node.Scheduler = &scheduler.Scheduler{
-		Host: name, Zone: zone, Address: name, Bounds: sim.Bounds, Incarnation: uint64(sim.now.UnixNano()),
+		Host: name, Zone: zone, Address: name, Bounds: sm.Bounds, Incarnation: uint64(sm.now.UnixNano()),
 	}
-	if sim.RandomPlacement {
-		node.Scheduler.Placer = scheduler.RandomPlacer{Random: rand.New(rand.NewPCG(uint64(len(sim.EntryHosts)), 1))}
+	if sm.RandomPlacement {
+		node.Scheduler.Placer = scheduler.RandomPlacer{Random: rand.New(rand.NewPCG(uint64(len(sm.EntryHosts)), 1))}
 	}
-	sim.EntryHosts = append(sim.EntryHosts, node)
-	sim.Deliver(node, scheduler.Adopt{Config: sim.Config})
-	sim.Deliver(node, scheduler.Locate{Directory: sim.Directory(zone)})
-	sim.scheduleTick(node, time.Duration(sim.Random.Int64N(int64(sim.Bounds.TickInterval))))
+	sm.EntryHosts = append(sm.EntryHosts, node)
+	sm.Deliver(node, scheduler.Adopt{Config: sm.Config})
+	sm.Deliver(node, scheduler.Locate{Directory: sm.Directory(zone)})
+	sm.scheduleTick(node, time.Duration(sm.Random.Int64N(int64(sm.Bounds.TickInterval))))
 	return node
 }
 
 // Directory returns the host list of a zone with a new version number.
-func (sim *Simulation) Directory(zone string) scheduler.Directory {
-	sim.directoryVersion++
-	d := scheduler.Directory{Version: sim.directoryVersion, Zone: zone}
-	for _, b := range sim.AllTargets {
+func (sm *Simulation) Directory(zone string) scheduler.Directory {
+	sm.directoryVersion++
+	d := scheduler.Directory{Version: sm.directoryVersion, Zone: zone}
+	for _, b := range sm.AllTargets {
 		if b.Zone == zone {
 			d.Hosts = append(d.Hosts, scheduler.Host{Name: b.Name, Role: scheduler.Target, Address: b.Name, Service: Service, Leaving: b.Leaving})
 		}
@@ -218,42 +218,42 @@
 const Service = "despacho"
 
 // Now returns the virtual time.
-func (sim *Simulation) Now() time.Time { return sim.now }
+func (sm *Simulation) Now() time.Time { return sm.now }
 
 // Schedule schedules an action after a delay in virtual time.
-func (sim *Simulation) Schedule(delay time.Duration, action func()) {
-	sim.sequence++
-	sim.queue.Push(&scheduledEvent{at: sim.now.Add(delay), sequence: sim.sequence, action: action})
+func (sm *Simulation) Schedule(delay time.Duration, action func()) {
+	sm.sequence++
+	sm.queue.Push(&scheduledEvent{at: sm.now.Add(delay), sequence: sm.sequence, action: action})
 }
 
 // Run advances virtual time by the given duration and runs the actions that are due.
-func (sim *Simulation) Run(d time.Duration) {
-	end := sim.now.Add(d)
-	for sim.queue.Len() > 0 && !sim.queue.Peek().at.After(end) {
-		e := sim.queue.Pop()
-		sim.now = e.at
+func (sm *Simulation) Run(d time.Duration) {
+	end := sm.now.Add(d)
+	for sm.queue.Len() > 0 && !sm.queue.Peek().at.After(end) {
+		e := sm.queue.Pop()
+		sm.now = e.at
 		e.action()
 	}
-	sim.now = end
+	sm.now = end
 }
 
 // scheduleTick delivers Tick events to a host, the first after the delay and then at
 // the interval of the bounds.
-func (sim *Simulation) scheduleTick(n *EntryHost, delay time.Duration) {
-	sim.Schedule(delay, func() {
+func (sm *Simulation) scheduleTick(n *EntryHost, delay time.Duration) {
+	sm.Schedule(delay, func() {
 		if n.Exited {
 			return
 		}
 		if !n.Paused {
-			sim.Deliver(n, scheduler.Tick{})
+			sm.Deliver(n, scheduler.Tick{})
 		}
-		sim.scheduleTick(n, sim.Bounds.TickInterval)
+		sm.scheduleTick(n, sm.Bounds.TickInterval)
 	})
 }
 
 // Deliver passes an event to the scheduler of a host and executes the effects. A
 // paused host handles the event after it resumes.
-func (sim *Simulation) Deliver(n *EntryHost, e scheduler.Event) {
+func (sm *Simulation) Deliver(n *EntryHost, e scheduler.Event) {
 	if n.Exited {
 		return
 	}
@@ -261,92 +261,92 @@
 		n.pendingEvents = append(n.pendingEvents, e)
 		return
 	}
-	sim.Results.Steps++
-	for _, effect := range n.Scheduler.Step(sim.now, e) {
-		sim.executeEffect(n, effect)
+	sm.Results.Steps++
+	for _, effect := range n.Scheduler.Step(sm.now, e) {
+		sm.executeEffect(n, effect)
 	}
 }
 
 // Resume resumes a paused host, which then handles the events that arrived during the
 // pause.
-func (sim *Simulation) Resume(n *EntryHost) {
+func (sm *Simulation) Resume(n *EntryHost) {
 	n.Paused = false
 	events := n.pendingEvents
 	n.pendingEvents = nil
 	for _, e := range events {
-		sim.Deliver(n, e)
+		sm.Deliver(n, e)
 	}
 }
 
 // executeEffect executes an effect of the scheduler of a host.
-func (sim *Simulation) executeEffect(n *EntryHost, effect scheduler.Effect) {
+func (sm *Simulation) executeEffect(n *EntryHost, effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Start:
-		sim.sendTask(n, e)
+		sm.sendTask(n, e)
 	case scheduler.Reply:
-		sim.sendAnswer(e)
+		sm.sendAnswer(e)
 	case scheduler.Publish:
-		sim.sendReport(n, e.Report)
+		sm.sendReport(n, e.Report)
 	case scheduler.Refresh:
-		sim.Schedule(sim.IntraZoneDelay, func() { sim.Deliver(n, scheduler.Locate{Directory: sim.Directory(n.Zone)}) })
+		sm.Schedule(sm.IntraZoneDelay, func() { sm.Deliver(n, scheduler.Locate{Directory: sm.Directory(n.Zone)}) })
 	case scheduler.Violation:
-		sim.Results.recordViolation("%s: %s", e.Invariant, e.Detail)
+		sm.Results.recordViolation("%s: %s", e.Invariant, e.Detail)
 	case scheduler.Decision:
-		if e.Action == scheduler.StateChanged && sim.OnStateChange != nil {
-			sim.OnStateChange(n, e.Target+" "+e.Reason)
+		if e.Action == scheduler.StateChanged && sm.OnStateChange != nil {
+			sm.OnStateChange(n, e.Target+" "+e.Reason)
 		}
 		if e.Action == scheduler.Requeue {
-			sim.Results.Requeues++
+			sm.Results.Requeues++
 		}
 	}
 }
 
 // sendReport sends a report to the peers of the zone that can be reached, and counts
 // it.
-func (sim *Simulation) sendReport(n *EntryHost, report scheduler.Report) {
+func (sm *Simulation) sendReport(n *EntryHost, report scheduler.Report) {
 	delta := n.packer.Encode(report)
 	data, err := reporter.Message{Delta: &delta}.Encode()
 	if err != nil {
 		panic(err)
 	}
-	for _, peer := range sim.EntryHosts {
+	for _, peer := range sm.EntryHosts {
 		if peer == n || peer.Zone != n.Zone || peer.Exited || n.Partitioned || peer.Partitioned {
 			continue
 		}
-		sim.Results.Reports++
-		sim.Results.ReportBytes += len(data)
-		sim.Schedule(sim.IntraZoneDelay, func() { sim.Deliver(peer, scheduler.ReportReceived{Report: report}) })
+		sm.Results.Reports++
+		sm.Results.ReportBytes += len(data)
+		sm.Schedule(sm.IntraZoneDelay, func() { sm.Deliver(peer, scheduler.ReportReceived{Report: report}) })
 	}
 }
 
 // Submit requests a ticket from a host and submits a job there.
-func (sim *Simulation) Submit(n *EntryHost, client string, job shallotrouter.Job, runs []time.Duration) *Submission {
-	sub := &Submission{Client: client, Host: n, Job: job, RunTimes: runs, SubmittedAt: sim.now, startCounts: make([]int, len(runs)), endedTasks: make([]bool, len(runs))}
-	sim.Results.Submissions = append(sim.Results.Submissions, sub)
-	sim.Schedule(sim.ClientDelay, func() {
+func (sm *Simulation) Submit(n *EntryHost, client string, job shallotrouter.Job, runs []time.Duration) *Submission {
+	sub := &Submission{Client: client, Host: n, Job: job, RunTimes: runs, SubmittedAt: sm.now, startCounts: make([]int, len(runs)), endedTasks: make([]bool, len(runs))}
+	sm.Results.Submissions = append(sm.Results.Submissions, sub)
+	sm.Schedule(sm.ClientDelay, func() {
 		if n.Exited || n.Paused {
 			return // the connection fails
 		}
-		sim.lastRequest++
-		for _, effect := range n.Scheduler.Step(sim.now, scheduler.Issue{Request: sim.lastRequest, Client: sim.schedulerClient(client), Count: 1}) {
+		sm.lastRequest++
+		for _, effect := range n.Scheduler.Step(sm.now, scheduler.Issue{Request: sm.lastRequest, Client: sm.schedulerClient(client), Count: 1}) {
 			if issued, ok := effect.(scheduler.Issued); ok && issued.Err == nil {
 				sub.TicketNumber = issued.First
 				continue
 			}
-			sim.executeEffect(n, effect)
+			sm.executeEffect(n, effect)
 		}
 		if sub.TicketNumber == 0 {
 			return
 		}
-		sim.submissionsByKey[sim.ticketKey(n, sub.TicketNumber)] = submissionRef{sub: sub}
-		sim.Resubmit(sub)
+		sm.submissionsByKey[sm.ticketKey(n, sub.TicketNumber)] = submissionRef{sub: sub}
+		sm.Resubmit(sub)
 	})
 	return sub
 }
 
 // schedulerClient returns the name under which the schedulers queue a client's jobs.
-func (sim *Simulation) schedulerClient(client string) string {
-	if sim.SingleQueue {
+func (sm *Simulation) schedulerClient(client string) string {
+	if sm.SingleQueue {
 		return MergedClient
 	}
 	return client
@@ -357,44 +357,44 @@
 
 // Resubmit submits a job again under its ticket. After a refusal this is a new
 // request, which may run if the ticket is still unused.
-func (sim *Simulation) Resubmit(sub *Submission) {
+func (sm *Simulation) Resubmit(sub *Submission) {
 	if sub.Answer != nil && sub.Answer.Outcome == shallotrouter.Refused {
 		sub.Answer = nil
 	}
-	sim.lastRequest++
+	sm.lastRequest++
 	sub.attempts++
-	sim.submissionsByKey[sim.lastRequest|requestKeyBit] = submissionRef{sub, sub.attempts}
-	sim.Deliver(sub.Host, scheduler.Submit{Request: sim.lastRequest, Client: sim.schedulerClient(sub.Client), Number: sub.TicketNumber, Job: sub.Job})
+	sm.submissionsByKey[sm.lastRequest|requestKeyBit] = submissionRef{sub, sub.attempts}
+	sm.Deliver(sub.Host, scheduler.Submit{Request: sm.lastRequest, Client: sm.schedulerClient(sub.Client), Number: sub.TicketNumber, Job: sub.Job})
 }
 
 // Cancel cancels a job.
-func (sim *Simulation) Cancel(sub *Submission) {
+func (sm *Simulation) Cancel(sub *Submission) {
 	if sub.TicketNumber == 0 {
 		return
 	}
-	sim.lastRequest++
-	sim.submissionsByKey[sim.lastRequest|requestKeyBit] = submissionRef{sub, sub.attempts}
-	sim.Deliver(sub.Host, scheduler.Cancel{Request: sim.lastRequest, Client: sim.schedulerClient(sub.Client), Number: sub.TicketNumber})
+	sm.lastRequest++
+	sm.submissionsByKey[sm.lastRequest|requestKeyBit] = submissionRef{sub, sub.attempts}
+	sm.Deliver(sub.Host, scheduler.Cancel{Request: sm.lastRequest, Client: sm.schedulerClient(sub.Client), Number: sub.TicketNumber})
 }
 
 // requestKeyBit distinguishes the keys of requests from the keys of tickets.
 const requestKeyBit = 1 << 63
 
 // sendAnswer checks an answer and sends it to its client.
-func (sim *Simulation) sendAnswer(e scheduler.Reply) {
-	ref := sim.submissionsByKey[e.Request|requestKeyBit]
+func (sm *Simulation) sendAnswer(e scheduler.Reply) {
+	ref := sm.submissionsByKey[e.Request|requestKeyBit]
 	sub := ref.sub
-	delete(sim.submissionsByKey, e.Request|requestKeyBit)
+	delete(sm.submissionsByKey, e.Request|requestKeyBit)
 	if sub == nil {
-		sim.Results.recordViolation("one answer a request: request %d has more than one answer", e.Request)
+		sm.Results.recordViolation("one answer a request: request %d has more than one answer", e.Request)
 		return
 	}
 	answer := e.Answer
-	sim.Results.checkAnswer(sub, &answer)
-	sim.Schedule(sim.ClientDelay, func() {
+	sm.Results.checkAnswer(sub, &answer)
+	sm.Schedule(sm.ClientDelay, func() {
 		outdated := answer.Outcome == shallotrouter.Refused && ref.attempt < sub.attempts
 		if sub.Answer == nil && !outdated {
-			sub.Answer, sub.AnsweredAt = &answer, sim.now
+			sub.Answer, sub.AnsweredAt = &answer, sm.now
 		}
 	})
 }
--- a/internal/modeler/client.go
+++ b/internal/modeler/client.go
@@ -69,40 +69,40 @@
 )
 
 // scheduleArrivals schedules the first job of each kind.
-func (sim *Simulation) scheduleArrivals() {
-	for i := range sim.Kinds {
-		k := &sim.Kinds[i]
-		sim.scheduleNextJob(k, sim.loadStart)
+func (sm *Simulation) scheduleArrivals() {
+	for i := range sm.Kinds {
+		k := &sm.Kinds[i]
+		sm.scheduleNextJob(k, sm.loadStart)
 	}
 }
 
 // scheduleNextJob schedules the next job of a kind at an exponentially distributed interval
 // after from, which is the time of the previous job of the kind or the start of the load.
-func (sim *Simulation) scheduleNextJob(k *JobKind, from time.Time) {
-	rate := k.Rate * sim.LoadFactor * sim.burstFactor(k.Name, from)
-	interval := time.Duration(sim.jobRandom.ExpFloat64() / max(rate, 1e-9) * float64(time.Second))
+func (sm *Simulation) scheduleNextJob(k *JobKind, from time.Time) {
+	rate := k.Rate * sm.LoadFactor * sm.burstFactor(k.Name, from)
+	interval := time.Duration(sm.jobRandom.ExpFloat64() / max(rate, 1e-9) * float64(time.Second))
 	at := from.Add(interval)
-	if at.After(sim.loadStart.Add(sim.LoadDuration)) {
+	if at.After(sm.loadStart.Add(sm.LoadDuration)) {
 		return
 	}
-	sim.schedule(at.Sub(sim.now), func() {
-		sim.submitNewJob(k)
-		sim.scheduleNextJob(k, at)
+	sm.schedule(at.Sub(sm.now), func() {
+		sm.submitNewJob(k)
+		sm.scheduleNextJob(k, at)
 	})
 }
 
 // submitNewJob draws a job of a kind and sends it.
-func (sim *Simulation) submitNewJob(k *JobKind) {
-	sim.lastIDNumber++
-	normalRandom := sim.jobRandom.NormFloat64
+func (sm *Simulation) submitNewJob(k *JobKind) {
+	sm.lastIDNumber++
+	normalRandom := sm.jobRandom.NormFloat64
 	taskSeconds := k.MeanRunTime.Seconds() * math.Exp(k.RunTimeSpread*normalRandom()-k.RunTimeSpread*k.RunTimeSpread/2)
 	count := int(math.Round(k.MeanTasks * math.Exp(0.4*normalRandom()-0.08)))
 	count = min(max(count, 1), int(4*k.MeanTasks))
 	need := k.Need
 	need.CPU = min(int(float64(need.CPU)*math.Exp(0.2*normalRandom())), need.CPU*3/2)
 	c := &client{
-		sim: sim, id: fmt.Sprintf("%016x", sim.lastIDNumber), kind: k, taskSeconds: taskSeconds, sentAt: sim.now,
-		zone: sim.Size.Zones[sim.jobRandom.IntN(len(sim.Size.Zones))],
+		sim: sm, id: fmt.Sprintf("%016x", sm.lastIDNumber), kind: k, taskSeconds: taskSeconds, sentAt: sm.now,
+		zone: sm.Size.Zones[sm.jobRandom.IntN(len(sm.Size.Zones))],
 	}
 	maxFactor := 0.0
 	for range count {
@@ -117,8 +117,8 @@
 		ExpectedRunTime: time.Duration(taskSeconds * math.Exp(k.EstimateError*normalRandom()) * float64(time.Second)),
 		MaxAttempts:     max(k.MaxAttempts, 1), Stretch: k.Stretch, Allowance: k.Allowance,
 	}
-	sim.clients[c.id] = c
-	sim.Results.recordSubmitted(c)
+	sm.clients[c.id] = c
+	sm.Results.recordSubmitted(c)
 	c.send()
 }
 
@@ -194,10 +194,10 @@
 // of the job is unknown.
 func (c *client) handleBrokenConnection() { c.scheduleResend() }
 
-func (sim *Simulation) clientsWaitingAt(h *host) []*client {
+func (sm *Simulation) clientsWaitingAt(h *host) []*client {
 	var clients []*client
-	for _, id := range sortedKeys(sim.clients) {
-		if c := sim.clients[id]; c.host == h && !c.ended {
+	for _, id := range sortedKeys(sm.clients) {
+		if c := sm.clients[id]; c.host == h && !c.ended {
 			clients = append(clients, c)
 		}
 	}
@@ -207,46 +207,46 @@
 // handleAnswer applies a host's answer to its client. It checks that all tasks of a completed
 // job are done, and that no run of a refused job was started, unless an earlier attempt may have
 // run.
-func (sim *Simulation) handleAnswer(h *host, e router.Answer) {
-	c := sim.clients[e.Verdict.ID]
+func (sm *Simulation) handleAnswer(h *host, e router.Answer) {
+	c := sm.clients[e.Verdict.ID]
 	if c == nil || c.ended || c.host != h || c.requestID != e.Request {
 		return
 	}
-	responseTime := sim.now.Sub(c.sentAt) + clientDelay
+	responseTime := sm.now.Sub(c.sentAt) + clientDelay
 	switch e.Verdict.Outcome {
 	case router.Complete:
 		for i := range c.job.Count {
-			if !sim.finishedTasks[c.id][strconv.Itoa(i)] {
-				sim.recordViolation("job %s was answered as complete, but task %d is not done", c.id, i)
+			if !sm.finishedTasks[c.id][strconv.Itoa(i)] {
+				sm.recordViolation("job %s was answered as complete, but task %d is not done", c.id, i)
 			}
 		}
 		c.ended = true
-		sim.Results.recordComplete(c, responseTime)
+		sm.Results.recordComplete(c, responseTime)
 	case router.Refused:
-		if sim.startCounts[c.id] > 0 && !c.mayHaveRun {
-			sim.recordViolation("job %s was refused as not run (reason %s), but %d of its runs had been started", c.id, e.Verdict.Reason, sim.startCounts[c.id])
+		if sm.startCounts[c.id] > 0 && !c.mayHaveRun {
+			sm.recordViolation("job %s was refused as not run (reason %s), but %d of its runs had been started", c.id, e.Verdict.Reason, sm.startCounts[c.id])
 		}
-		if sim.RetryRefusedJobs && !c.retriedAfterRefusal {
+		if sm.RetryRefusedJobs && !c.retriedAfterRefusal {
 			c.retryAfterRefusal(e.Verdict.RetryAfter)
 			return
 		}
 		c.ended, c.wasRefused = true, true
-		sim.Results.recordRefused(c, e.Verdict.Reason)
+		sm.Results.recordRefused(c, e.Verdict.Reason)
 	case router.Failed:
 		c.ended = true
-		sim.Results.recordFailed(c, e.Verdict.Reason)
+		sm.Results.recordFailed(c, e.Verdict.Reason)
 	default:
-		sim.Results.recordUnknown(c, e.Verdict.Reason)
+		sm.Results.recordUnknown(c, e.Verdict.Reason)
 		c.scheduleResend()
 	}
 }
 
-func (sim *Simulation) recordFinishedTask(taskID string) {
+func (sm *Simulation) recordFinishedTask(taskID string) {
 	id, index := jobID(taskID), taskID[strings.LastIndexByte(taskID, '.')+1:]
-	if sim.finishedTasks[id] == nil {
-		sim.finishedTasks[id] = make(map[string]bool)
+	if sm.finishedTasks[id] == nil {
+		sm.finishedTasks[id] = make(map[string]bool)
 	}
-	sim.finishedTasks[id][index] = true
+	sm.finishedTasks[id][index] = true
 }
 
 // jobID returns the ID of a task's job. A task ID consists of the job ID, a dot and the index of
@@ -256,14 +256,14 @@
 	return id
 }
 
-func (sim *Simulation) jobOf(taskID string) *router.Job { return &sim.clients[jobID(taskID)].job }
+func (sm *Simulation) jobOf(taskID string) *router.Job { return &sm.clients[jobID(taskID)].job }
 
 // runTimeOf returns the run time of a task at a target.
-func (sim *Simulation) runTimeOf(taskID string, t *target) time.Duration {
-	c := sim.clients[jobID(taskID)]
+func (sm *Simulation) runTimeOf(taskID string, t *target) time.Duration {
+	c := sm.clients[jobID(taskID)]
 	index, err := strconv.Atoi(taskID[strings.LastIndexByte(taskID, '.')+1:])
 	if err != nil || index >= len(c.taskFactors) {
-		sim.recordViolation("task %s was started, but its job has no such task", taskID)
+		sm.recordViolation("task %s was started, but its job has no such task", taskID)
 		return time.Millisecond
 	}
 	return time.Duration(c.taskSeconds * c.taskFactors[index] * t.slowFactor * float64(time.Second))
@@ -272,11 +272,11 @@
 // checkRefusedJobsNotStarted checks at the end of the simulation that no run of a job that was
 // refused as not run has been started. It leaves out jobs that may have run in an attempt
 // whose outcome is unknown.
-func (sim *Simulation) checkRefusedJobsNotStarted() {
-	for _, id := range sortedKeys(sim.clients) {
-		c := sim.clients[id]
-		if c.wasRefused && !c.mayHaveRun && sim.startCounts[id] > 0 {
-			sim.recordViolation("job %s was refused as not run, but at least one of its runs has been started", id)
+func (sm *Simulation) checkRefusedJobsNotStarted() {
+	for _, id := range sortedKeys(sm.clients) {
+		c := sm.clients[id]
+		if c.wasRefused && !c.mayHaveRun && sm.startCounts[id] > 0 {
+			sm.recordViolation("job %s was refused as not run, but at least one of its runs has been started", id)
 		}
 	}
 }
--- a/internal/modeler/fault.go
+++ b/internal/modeler/fault.go
@@ -50,44 +50,44 @@
 	RateFactor  float64 // factor of the arrival rate for Burst
 }
 
-func (sim *Simulation) scheduleFault(f Fault) {
-	sim.schedule(f.At+sim.WarmUpDuration, func() { sim.injectFault(f) })
+func (sm *Simulation) scheduleFault(f Fault) {
+	sm.schedule(f.At+sm.WarmUpDuration, func() { sm.injectFault(f) })
 }
 
-func (sim *Simulation) injectFault(f Fault) {
+func (sm *Simulation) injectFault(f Fault) {
 	switch f.Kind {
 	case KillHost, PauseHost, RestartHost, PartitionHost, PartitionStore:
-		sim.injectHostFault(f, sim.pickHost(f.Selector))
+		sm.injectHostFault(f, sm.pickHost(f.Selector))
 	case PartitionZone:
-		sim.partitionZone(f)
+		sm.partitionZone(f)
 	case StoreUnavailable, StoreSlow, StoreAnswersLost:
-		sim.injectStoreFault(f)
+		sm.injectStoreFault(f)
 	case KillTarget, FailTarget, HangTarget, SlowTarget, DrainTarget:
-		for _, id := range sim.targetIDs {
-			if sim.random.Float64() < f.TargetShare {
-				sim.injectTargetFault(f, sim.targets[id])
+		for _, id := range sm.targetIDs {
+			if sm.random.Float64() < f.TargetShare {
+				sm.injectTargetFault(f, sm.targets[id])
 			}
 		}
 	case KillAllHosts:
-		for _, h := range sim.hosts {
+		for _, h := range sm.hosts {
 			h.kill()
-			sim.schedule(f.Duration+time.Duration(sim.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
+			sm.schedule(f.Duration+time.Duration(sm.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
 		}
 	}
 }
 
 // pickHost returns the host that a fault with this selector affects.
-func (sim *Simulation) pickHost(selector string) *host {
-	for _, h := range sim.hosts {
+func (sm *Simulation) pickHost(selector string) *host {
+	for _, h := range sm.hosts {
 		if h.name == selector {
 			return h
 		}
 	}
-	best := sim.hosts[sim.random.IntN(len(sim.hosts))]
+	best := sm.hosts[sm.random.IntN(len(sm.hosts))]
 	if selector != "holder" {
 		return best
 	}
-	for _, h := range sim.hosts {
+	for _, h := range sm.hosts {
 		if h.up && !h.paused && (!best.up || h.router.View().HeldCells > best.router.View().HeldCells) {
 			best = h
 		}
@@ -95,16 +95,16 @@
 	return best
 }
 
-func (sim *Simulation) injectHostFault(f Fault, h *host) {
+func (sm *Simulation) injectHostFault(f Fault, h *host) {
 	switch f.Kind {
 	case KillHost:
 		h.kill()
-		sim.schedule(f.Duration, h.startProcess)
+		sm.schedule(f.Duration, h.startProcess)
 	case PauseHost:
 		if h.up {
 			h.paused = true
 			incarnation := h.incarnation
-			sim.schedule(f.Duration, func() {
+			sm.schedule(f.Duration, func() {
 				if h.incarnation == incarnation {
 					h.resume()
 				}
@@ -114,51 +114,51 @@
 		if h.up {
 			h.step(router.Drain{})
 			incarnation := h.incarnation
-			sim.schedule(2*time.Second, func() { h.leaving = h.incarnation == incarnation })
-			sim.schedule(sim.Bounds.ShutdownTimeout, func() { // the platform kills a host that has not shut down in time
+			sm.schedule(2*time.Second, func() { h.leaving = h.incarnation == incarnation })
+			sm.schedule(sm.Bounds.ShutdownTimeout, func() { // the platform kills a host that has not shut down in time
 				if h.incarnation == incarnation && h.up {
 					h.kill()
-					sim.schedule(300*time.Millisecond, h.startProcess)
+					sm.schedule(300*time.Millisecond, h.startProcess)
 				}
 			})
 		}
 	case PartitionHost:
-		for _, other := range sim.hosts {
+		for _, other := range sm.hosts {
 			if other != h {
-				sim.partition(h.name, other.name, f.Duration)
+				sm.partition(h.name, other.name, f.Duration)
 			}
 		}
 	case PartitionStore:
-		sim.partition(h.name, "store", f.Duration)
+		sm.partition(h.name, "store", f.Duration)
 	}
 }
 
 // partition blocks messages between two places, in both directions, for a duration.
-func (sim *Simulation) partition(a, b string, duration time.Duration) {
-	sim.blockedPaths[[2]string{a, b}], sim.blockedPaths[[2]string{b, a}] = true, true
-	sim.schedule(duration, func() {
-		delete(sim.blockedPaths, [2]string{a, b})
-		delete(sim.blockedPaths, [2]string{b, a})
+func (sm *Simulation) partition(a, b string, duration time.Duration) {
+	sm.blockedPaths[[2]string{a, b}], sm.blockedPaths[[2]string{b, a}] = true, true
+	sm.schedule(duration, func() {
+		delete(sm.blockedPaths, [2]string{a, b})
+		delete(sm.blockedPaths, [2]string{b, a})
 	})
 }
 
-func (sim *Simulation) partitionZone(f Fault) {
+func (sm *Simulation) partitionZone(f Fault) {
 	zone := f.Selector
 	if zone == "" {
-		zone = sim.Size.Zones[sim.random.IntN(len(sim.Size.Zones))]
+		zone = sm.Size.Zones[sm.random.IntN(len(sm.Size.Zones))]
 	}
-	for _, other := range sim.Size.Zones {
+	for _, other := range sm.Size.Zones {
 		if other != zone {
-			sim.partition(zone, other, f.Duration)
+			sm.partition(zone, other, f.Duration)
 		}
 	}
-	sim.partition(zone, "store", f.Duration)
-	sim.schedule(min(f.Duration, 4500*time.Millisecond), sim.store.unlistUnreachable)
-	sim.schedule(f.Duration+time.Second, sim.store.relistRunning)
+	sm.partition(zone, "store", f.Duration)
+	sm.schedule(min(f.Duration, 4500*time.Millisecond), sm.store.unlistUnreachable)
+	sm.schedule(f.Duration+time.Second, sm.store.relistRunning)
 }
 
-func (sim *Simulation) injectStoreFault(f Fault) {
-	s := sim.store
+func (sm *Simulation) injectStoreFault(f Fault) {
+	s := sm.store
 	switch f.Kind {
 	case StoreUnavailable:
 		s.unavailable = true
@@ -167,32 +167,32 @@
 	case StoreAnswersLost:
 		s.dropsAnswers = true
 	}
-	sim.schedule(f.Duration, func() { s.unavailable, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
+	sm.schedule(f.Duration, func() { s.unavailable, s.latency, s.dropsAnswers = false, storeRoundTrip, false })
 }
 
-func (sim *Simulation) injectTargetFault(f Fault, t *target) {
+func (sm *Simulation) injectTargetFault(f Fault, t *target) {
 	modes := map[FaultKind]mode{FailTarget: failing, HangTarget: hanging, SlowTarget: slowed}
 	incarnation := t.incarnation
 	switch f.Kind {
 	case KillTarget:
 		t.kill()
-		sim.schedule(f.Duration, func() {
+		sm.schedule(f.Duration, func() {
 			if !t.up {
 				t.startProcess()
 			}
 		})
 	case DrainTarget:
 		t.entry.Draining = true
-		sim.store.listTarget(t)
-		sim.schedule(sim.Bounds.LeaseDuration+2*time.Second, func() {
+		sm.store.listTarget(t)
+		sm.schedule(sm.Bounds.LeaseDuration+2*time.Second, func() {
 			if t.incarnation == incarnation {
 				t.kill()
-				sim.store.unlistTarget(t)
+				sm.store.unlistTarget(t)
 			}
 		})
 	default:
 		t.mode = modes[f.Kind]
-		sim.schedule(f.Duration, func() {
+		sm.schedule(f.Duration, func() {
 			if t.incarnation == incarnation {
 				t.mode = normal
 			}
@@ -201,10 +201,10 @@
 }
 
 // burstFactor returns the factor of the arrival rate of a kind at a moment.
-func (sim *Simulation) burstFactor(kind string, at time.Time) float64 {
+func (sm *Simulation) burstFactor(kind string, at time.Time) float64 {
 	factor := 1.0
-	for _, f := range sim.Faults {
-		since := at.Sub(sim.loadStart)
+	for _, f := range sm.Faults {
+		since := at.Sub(sm.loadStart)
 		if f.Kind == Burst && since >= f.At && since < f.At+f.Duration && (f.Selector == "" || f.Selector == kind) {
 			factor *= f.RateFactor
 		}
--- a/internal/modeler/host.go
+++ b/internal/modeler/host.go
@@ -205,14 +205,14 @@
 
 // dropConnections closes all links to a process that has ended, and the connections of its
 // clients.
-func (sim *Simulation) dropConnections(ended *host) {
-	for _, h := range sim.hosts {
+func (sm *Simulation) dropConnections(ended *host) {
+	for _, h := range sm.hosts {
 		if h.up && h.links[ended.address] {
 			h.links[ended.address] = false
 			h.dial(ended.address)
 		}
 	}
-	for _, c := range sim.clientsWaitingAt(ended) {
+	for _, c := range sm.clientsWaitingAt(ended) {
 		c.handleBrokenConnection()
 	}
 }
--- a/internal/modeler/summary.go
+++ b/internal/modeler/summary.go
@@ -93,15 +93,15 @@
 
 // capacity returns the work in core-seconds that the targets can do until the last moment
 // at which an answer can be in time.
-func (sim *Simulation) capacity() float64 {
+func (sm *Simulation) capacity() float64 {
 	cores := 0.0
-	for _, name := range sim.targetIDs {
-		t := sim.targets[name]
+	for _, name := range sm.targetIDs {
+		t := sm.targets[name]
 		cores += float64(t.entry.Capacity.CPU) / milliPerCore / t.slowFactor
 	}
 	maxObjective := time.Duration(0)
-	for _, c := range sim.clients {
+	for _, c := range sm.clients {
 		maxObjective = max(maxObjective, c.objective)
 	}
-	return cores * (sim.LoadDuration + maxObjective).Seconds()
+	return cores * (sm.LoadDuration + maxObjective).Seconds()
 }
--- a/internal/modeler/target.go
+++ b/internal/modeler/target.go
@@ -49,20 +49,20 @@
 // orderHandler executes an order at a target and returns the result.
 type orderHandler func() router.StartResult
 
-func (sim *Simulation) addTarget(id, zone string, index int) {
-	capacity, slowFactor, label := sim.Size.TargetCapacity, 1.0, "a"
+func (sm *Simulation) addTarget(id, zone string, index int) {
+	capacity, slowFactor, label := sm.Size.TargetCapacity, 1.0, "a"
 	if index%3 == 2 {
 		capacity.CPU, capacity.Memory = capacity.CPU*3/2, capacity.Memory*3/2
-		slowFactor, label = sim.Size.SlowFactor, "b"
+		slowFactor, label = sm.Size.SlowFactor, "b"
 	}
 	t := &target{
-		sim: sim, slowFactor: slowFactor, drift: (sim.random.Float64() - 0.5) * 0.04,
+		sim: sm, slowFactor: slowFactor, drift: (sm.random.Float64() - 0.5) * 0.04,
 		entry: router.Target{
 			ID: id, Address: "10.128.0.1:1", Service: "work", Zone: zone, Capacity: capacity, Labels: []string{label, "rack"},
 		},
 	}
-	sim.targets[id] = t
-	sim.targetIDs = append(sim.targetIDs, id)
+	sm.targets[id] = t
+	sm.targetIDs = append(sm.targetIDs, id)
 	t.startProcess()
 }
 
@@ -252,7 +252,7 @@
 }
 
 // sendOrder simulates the delivery of an order, its execution at the target and the answer.
-func (sim *Simulation) sendOrder(h *host, to router.Target, timeout time.Duration, handlerOf func(*target) orderHandler, reply func(router.StartResult, router.Reading) router.Event) {
+func (sm *Simulation) sendOrder(h *host, to router.Target, timeout time.Duration, handlerOf func(*target) orderHandler, reply func(router.StartResult, router.Reading) router.Event) {
 	answered := false
 	answer := func(result router.StartResult, clock router.Reading) {
 		if !answered {
@@ -261,41 +261,41 @@
 		}
 	}
 	h.schedule(timeout, func() { answer(router.NoAnswer, router.Reading{}) })
-	t := sim.targets[to.ID]
-	if t == nil || !sim.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
+	t := sm.targets[to.ID]
+	if t == nil || !sm.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
 		return
 	}
-	delay := sim.delay(h.zone, t.entry.Zone)
-	if sim.random.Float64() < sim.LateOrderShare {
+	delay := sm.delay(h.zone, t.entry.Zone)
+	if sm.random.Float64() < sm.LateOrderShare {
 		incarnation := t.incarnation
-		sim.schedule(delay+time.Duration(2+sim.random.IntN(10))*time.Second, func() {
+		sm.schedule(delay+time.Duration(2+sm.random.IntN(10))*time.Second, func() {
 			if t.up && t.incarnation == incarnation {
 				handlerOf(t)()
 			}
 		})
 		return
 	}
-	sim.schedule(delay, func() {
+	sm.schedule(delay, func() {
 		if !t.up {
 			h.schedule(delay, func() { answer(router.NotSent, router.Reading{}) })
 			return
 		}
 		result := handlerOf(t)()
 		millis := t.clock()
-		if sim.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) && !sim.dropsAnswer() {
-			h.schedule(delay, func() { answer(result, router.Reading{Millis: millis, At: sim.now}) })
+		if sm.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) && !sm.dropsAnswer() {
+			h.schedule(delay, func() { answer(result, router.Reading{Millis: millis, At: sm.now}) })
 		}
 	})
 }
 
 // dropsAnswer draws whether the answer to an order or a renewal is lost.
-func (sim *Simulation) dropsAnswer() bool {
-	return sim.LostAnswerShare > 0 && sim.random.Float64() < sim.LostAnswerShare
+func (sm *Simulation) dropsAnswer() bool {
+	return sm.LostAnswerShare > 0 && sm.random.Float64() < sm.LostAnswerShare
 }
 
 // sendRenewal simulates a renewal, whose answer may wait for the end of a run.
-func (sim *Simulation) sendRenewal(h *host, e router.Renew) {
-	sentAt := sim.now
+func (sm *Simulation) sendRenewal(h *host, e router.Renew) {
+	sentAt := sm.now
 	answered := false
 	answer := func(event router.RenewAnswered) {
 		if !answered {
@@ -306,12 +306,12 @@
 	h.schedule(e.Timeout, func() {
 		answer(router.RenewAnswered{Target: e.Target.ID, Token: e.Token, SentAt: sentAt, Poll: e.Poll, Result: router.NoAnswer})
 	})
-	t := sim.targets[e.Target.ID]
-	if t == nil || !sim.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
+	t := sm.targets[e.Target.ID]
+	if t == nil || !sm.canReach(h.name, h.zone, t.entry.ID, t.entry.Zone) {
 		return
 	}
-	delay := sim.delay(h.zone, t.entry.Zone)
-	sim.schedule(delay, func() {
+	delay := sm.delay(h.zone, t.entry.Zone)
+	sm.schedule(delay, func() {
 		if !t.up {
 			return
 		}
@@ -323,13 +323,13 @@
 		}
 		t.extendLease(e.LeaseEnd)
 		reply := func() {
-			if !sim.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) || sim.dropsAnswer() {
+			if !sm.canReach(t.entry.ID, t.entry.Zone, h.name, h.zone) || sm.dropsAnswer() {
 				return
 			}
 			event := t.renewalAnswer(e, sentAt)
 			millis := t.clock()
 			h.schedule(delay, func() {
-				event.Clock = router.Reading{Millis: millis, At: sim.now}
+				event.Clock = router.Reading{Millis: millis, At: sm.now}
 				answer(event)
 			})
 		}
@@ -360,13 +360,13 @@
 }
 
 // recordStart records the start of a run and checks that the task has no other run.
-func (sim *Simulation) recordStart(t *target, h *host, e router.Start) {
-	if at := sim.runningTasks[e.Task]; at != "" {
-		sim.recordViolation("two runs of %s: at %s, and run %d at %s by %s", e.Task, at, e.Run, t.entry.ID, h.name)
+func (sm *Simulation) recordStart(t *target, h *host, e router.Start) {
+	if at := sm.runningTasks[e.Task]; at != "" {
+		sm.recordViolation("two runs of %s: at %s, and run %d at %s by %s", e.Task, at, e.Run, t.entry.ID, h.name)
 	}
-	sim.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, sim.now.Sub(sim.loadStart).Seconds())
-	sim.startCounts[jobID(e.Task)]++
-	sim.Results.Starts++
+	sm.runningTasks[e.Task] = fmt.Sprintf("%s run %d by %s at %.3f", t.entry.ID, e.Run, h.name, sm.now.Sub(sm.loadStart).Seconds())
+	sm.startCounts[jobID(e.Task)]++
+	sm.Results.Starts++
 }
 
-func (sim *Simulation) recordEnd(_ *target, r *run) { delete(sim.runningTasks, r.taskID) }
+func (sm *Simulation) recordEnd(_ *target, r *run) { delete(sm.runningTasks, r.taskID) }
--- a/internal/modeler/world.go
+++ b/internal/modeler/world.go
@@ -108,95 +108,95 @@
 }
 
 // schedule plans an action after a delay.
-func (sim *Simulation) schedule(d time.Duration, action func()) {
-	sim.startClock()
-	sim.lastSequence++
-	heap.Push(&sim.events, scheduledEvent{at: sim.now.Add(d), sequence: sim.lastSequence, action: action})
+func (sm *Simulation) schedule(d time.Duration, action func()) {
+	sm.startClock()
+	sm.lastSequence++
+	heap.Push(&sm.events, scheduledEvent{at: sm.now.Add(d), sequence: sm.lastSequence, action: action})
 }
 
 // epoch is the start of virtual time in Unix seconds.
 const epoch = 1_800_000_000
 
 // startClock sets the virtual clock to the epoch unless it is running.
-func (sim *Simulation) startClock() {
-	if sim.now.IsZero() {
-		sim.now = time.Unix(epoch, 0)
+func (sm *Simulation) startClock() {
+	if sm.now.IsZero() {
+		sm.now = time.Unix(epoch, 0)
 	}
 }
 
 // Run simulates the deployment to the end of its drain period.
-func (sim *Simulation) Run() {
-	sim.startClock()
-	sim.loadStart = sim.now.Add(sim.WarmUpDuration)
-	sim.random = rand.New(rand.NewPCG(sim.Seed, 1))
-	sim.jobRandom = rand.New(rand.NewPCG(sim.Seed, 2))
-	sim.networkRandom = rand.New(rand.NewPCG(sim.Seed, 3))
-	sim.hostsByAddress = make(map[string]*host)
-	sim.targets = make(map[string]*target)
-	sim.blockedPaths = make(map[[2]string]bool)
-	sim.runningTasks = make(map[string]string)
-	sim.startCounts = make(map[string]int)
-	sim.finishedTasks = make(map[string]map[string]bool)
-	sim.clients = make(map[string]*client)
-	sim.store = newStore(sim)
-	sim.createDeployment()
-	sim.scheduleArrivals()
-	for _, f := range sim.Faults {
-		sim.scheduleFault(f)
+func (sm *Simulation) Run() {
+	sm.startClock()
+	sm.loadStart = sm.now.Add(sm.WarmUpDuration)
+	sm.random = rand.New(rand.NewPCG(sm.Seed, 1))
+	sm.jobRandom = rand.New(rand.NewPCG(sm.Seed, 2))
+	sm.networkRandom = rand.New(rand.NewPCG(sm.Seed, 3))
+	sm.hostsByAddress = make(map[string]*host)
+	sm.targets = make(map[string]*target)
+	sm.blockedPaths = make(map[[2]string]bool)
+	sm.runningTasks = make(map[string]string)
+	sm.startCounts = make(map[string]int)
+	sm.finishedTasks = make(map[string]map[string]bool)
+	sm.clients = make(map[string]*client)
+	sm.store = newStore(sm)
+	sm.createDeployment()
+	sm.scheduleArrivals()
+	for _, f := range sm.Faults {
+		sm.scheduleFault(f)
 	}
-	end := sim.loadStart.Add(sim.LoadDuration + sim.DrainDuration)
-	for len(sim.events) > 0 {
-		e := heap.Pop(&sim.events).(scheduledEvent)
+	end := sm.loadStart.Add(sm.LoadDuration + sm.DrainDuration)
+	for len(sm.events) > 0 {
+		e := heap.Pop(&sm.events).(scheduledEvent)
 		if e.at.After(end) {
 			break
 		}
-		sim.now = e.at
+		sm.now = e.at
 		e.action()
 	}
-	sim.checkRefusedJobsNotStarted()
+	sm.checkRefusedJobsNotStarted()
 }
 
 // createDeployment creates the targets and the hosts, and starts each host at a random
 // moment within 300 ms.
-func (sim *Simulation) createDeployment() {
-	for z, zone := range sim.Size.Zones {
-		for i := range sim.Size.TargetsPerZone {
-			sim.addTarget(fmt.Sprintf("t%d-%02d", z, i), zone, i)
+func (sm *Simulation) createDeployment() {
+	for z, zone := range sm.Size.Zones {
+		for i := range sm.Size.TargetsPerZone {
+			sm.addTarget(fmt.Sprintf("t%d-%02d", z, i), zone, i)
 		}
-		for i := range sim.Size.HostsPerZone {
-			h := &host{sim: sim, name: fmt.Sprintf("h%d-%d", z, i), zone: zone}
+		for i := range sm.Size.HostsPerZone {
+			h := &host{sim: sm, name: fmt.Sprintf("h%d-%d", z, i), zone: zone}
 			h.address = fmt.Sprintf("10.%d.0.%d:1", z+1, i+1)
-			sim.hosts = append(sim.hosts, h)
-			sim.hostsByAddress[h.address] = h
-			sim.schedule(time.Duration(sim.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
+			sm.hosts = append(sm.hosts, h)
+			sm.hostsByAddress[h.address] = h
+			sm.schedule(time.Duration(sm.random.Int64N(int64(300*time.Millisecond))), h.startProcess)
 		}
 	}
 }
 
 // recordViolation adds the violation of an invariant, with its time after the start of the
 // load, unless there are 20 already.
-func (sim *Simulation) recordViolation(format string, args ...any) {
-	if len(sim.Violations) < 20 {
-		sim.Violations = append(sim.Violations, fmt.Sprintf("%.3f s: ", sim.now.Sub(sim.loadStart).Seconds())+fmt.Sprintf(format, args...))
+func (sm *Simulation) recordViolation(format string, args ...any) {
+	if len(sm.Violations) < 20 {
+		sm.Violations = append(sm.Violations, fmt.Sprintf("%.3f s: ", sm.now.Sub(sm.loadStart).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // delay returns the one-way network delay between two zones plus a jitter of less than
 // 200 µs.
-func (sim *Simulation) delay(a, b string) time.Duration {
-	d := sim.Size.InterZoneDelay
+func (sm *Simulation) delay(a, b string) time.Duration {
+	d := sm.Size.InterZoneDelay
 	if a == b {
-		d = sim.Size.IntraZoneDelay
+		d = sm.Size.IntraZoneDelay
 	}
-	return d + time.Duration(sim.networkRandom.Int64N(int64(200*time.Microsecond)))
+	return d + time.Duration(sm.networkRandom.Int64N(int64(200*time.Microsecond)))
 }
 
 // canReach reports whether no partition blocks messages from one place to another. A place
 // is a zone, the name of a host, the ID of a target, or "store".
-func (sim *Simulation) canReach(from, fromZone, to, toZone string) bool {
+func (sm *Simulation) canReach(from, fromZone, to, toZone string) bool {
 	for _, a := range []string{from, fromZone} {
 		for _, b := range []string{to, toZone} {
-			if a != b && sim.blockedPaths[[2]string{a, b}] {
+			if a != b && sm.blockedPaths[[2]string{a, b}] {
 				return false
 			}
 		}
