--- a/internal/divider/divide.go
+++ b/internal/divider/divide.go
@@ -1,6 +1,6 @@
-// Package divider splits a zone's slots between clients and entry hosts. Every
-// host computes the same division from the same reports, so no host grants
-// anything to another.
+// Package divider divides a zone's slots between clients and entry hosts. Every
+// host computes the same division from the same reports, so hosts need no
+// permission from each other to use slots.
 package divider
 
 import (
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// Demand is what one client wants at one host.
+// Demand is the demand of one client at one host.
 type Demand struct {
-	// Host and Client name the two.
+	// Host and Client are the names of the host and the client.
 	Host   string
 	Client string
-	// Weight is the client's declared share, above zero.
+	// Weight is the client's declared weight. It must be above 0.
 	Weight float64
 	// Tasks counts the client's running and waiting tasks at the host.
 	Tasks float64
@@ -25,27 +25,29 @@
 type Share struct {
 	Host   string
 	Client string
-	// Slots is a number of slots, with a fraction.
+	// Slots is the number of slots; it may be fractional.
 	Slots float64
-	// Satisfied tells that the client gets all that it wants.
+	// Satisfied reports whether the client's demand at the host is fully met.
 	Satisfied bool
 }
 
 // Division is the result of Divide.
 type Division struct {
-	// Shares are ordered by client, then host.
+	// Shares are sorted by client, then by host.
 	Shares []Share
-	// Spare is the number of slots that no demand needs.
+	// Spare is the number of slots that are left after all demands are met.
 	Spare float64
-	// Level is the slots a unit of weight that a client with more demand than
-	// its share gets; with spare slots it is all slots.
+	// Level is the number of slots per unit of weight that a client gets if its
+	// demand exceeds its share. If every demand is met, it is the number of all
+	// slots, but at least 1.
 	Level float64
 }
 
-// Divide gives each client its weighted max-min share of slots, and each of the
-// client's hosts a max-min share of that, so that a small demand at one host does
-// not wait behind a large one at another. It does not depend on the order of
-// demands and does not keep them; it sorts them in place.
+// Divide assigns to each client its weighted max-min fair share of the slots, and
+// divides this share between the client's hosts, again max-min fair. A small demand
+// at one host therefore does not wait behind a large demand at another. The result
+// does not depend on the order of demands. Divide sorts demands in place and does
+// not retain the slice.
 func Divide(slots float64, demands []Demand) Division {
 	slices.SortFunc(demands, func(a, b Demand) int {
 		if c := strings.Compare(a.Client, b.Client); c != 0 {
@@ -53,93 +55,94 @@
 		}
 		return strings.Compare(a.Host, b.Host)
 	})
-	totals := sum(demands)
-	left, level := fill(slots, totals)
+	clients := sumByClient(demands)
+	spare, level := assignMaxMin(slots, clients)
 	shares := make([]Share, 0, len(demands))
-	for _, t := range totals {
-		hosts := make([]total, 0, t.to-t.from)
-		for _, d := range demands[t.from:t.to] {
-			hosts = append(hosts, total{weight: 1, tasks: d.Tasks})
+	for _, client := range clients {
+		hosts := make([]allotment, 0, client.end-client.first)
+		for _, d := range demands[client.first:client.end] {
+			hosts = append(hosts, allotment{weight: 1, tasks: d.Tasks})
 		}
-		fill(t.given, hosts)
-		for i, d := range demands[t.from:t.to] {
+		assignMaxMin(client.assigned, hosts)
+		for i, d := range demands[client.first:client.end] {
 			shares = append(shares, Share{
-				Host: d.Host, Client: d.Client, Slots: hosts[i].given, Satisfied: hosts[i].given >= hosts[i].tasks-tolerance,
+				Host: d.Host, Client: d.Client, Slots: hosts[i].assigned, Satisfied: hosts[i].assigned >= hosts[i].tasks-tolerance,
 			})
 		}
 	}
-	return Division{Shares: shares, Spare: left, Level: level}
+	return Division{Shares: shares, Spare: spare, Level: level}
 }
 
-// total is one demand to be filled: a client's over all hosts, or a host's.
-type total struct {
-	from, to int
-	weight   float64
-	tasks    float64
-	given    float64
+// allotment is a demand and the slots assigned to it. The demand is that of one
+// client at all hosts or that of one client at one host.
+type allotment struct {
+	first, end int
+	weight     float64
+	tasks      float64
+	assigned   float64
 }
 
-func sum(demands []Demand) []total {
-	var totals []total
+func sumByClient(demands []Demand) []allotment {
+	var clients []allotment
 	for i, d := range demands {
 		if i == 0 || demands[i-1].Client != d.Client {
-			totals = append(totals, total{from: i, weight: d.Weight})
+			clients = append(clients, allotment{first: i, weight: d.Weight})
 		}
-		t := &totals[len(totals)-1]
-		t.to = i + 1
-		t.tasks += d.Tasks
-		t.weight = max(t.weight, d.Weight)
+		client := &clients[len(clients)-1]
+		client.end = i + 1
+		client.tasks += d.Tasks
+		client.weight = max(client.weight, d.Weight)
 	}
-	return totals
+	return clients
 }
 
-// fill raises all clients' levels together until the slots or the demands are
-// used up, and returns the slots left over and the level.
-func fill(slots float64, totals []total) (left, level float64) {
+// assignMaxMin assigns the slots max-min fair by weight. It returns the slots left
+// after all demands are met and the slots per unit of weight that unmet demands get.
+func assignMaxMin(slots float64, allotments []allotment) (spare, level float64) {
 	level = max(slots, 1)
-	order := make([]*total, 0, len(totals))
+	order := make([]*allotment, 0, len(allotments))
 	weight := 0.0
-	for i := range totals {
-		if totals[i].tasks > 0 {
-			order = append(order, &totals[i])
-			weight += totals[i].weight
+	for i := range allotments {
+		if allotments[i].tasks > 0 {
+			order = append(order, &allotments[i])
+			weight += allotments[i].weight
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *total) int {
+	slices.SortStableFunc(order, func(a, b *allotment) int {
 		return cmp.Compare(a.tasks/a.weight, b.tasks/b.weight)
 	})
 	for _, t := range order {
-		t.given = min(t.tasks, slots*t.weight/weight)
-		if t.given < t.tasks {
+		t.assigned = min(t.tasks, slots*t.weight/weight)
+		if t.assigned < t.tasks {
 			level = min(level, slots/weight)
 		}
-		slots -= t.given
+		slots -= t.assigned
 		weight -= t.weight
 	}
 	return max(slots, 0), level
 }
 
-// Holder is a host that gets slots.
+// Holder is a host that holds a range of slots.
 type Holder struct {
 	Host string
-	// Reserve is a number of slots that the host gets beside its shares.
+	// Reserve is the number of slots that the host gets in addition to its shares.
 	Reserve int
 }
 
-// Range is the part of the slots, in an order that all hosts share, that one host
-// holds.
+// Range is the range of slots that one host holds. The index of a slot refers to
+// an order of all slots that is the same at every host.
 type Range struct {
 	Host     string
 	From, To int
 }
 
-// Slots returns the length of the range.
+// Slots returns the number of slots in the range.
 func (r Range) Slots() int { return r.To - r.From }
 
-// Lay turns a division into one range a host, by largest remainder. The spare
-// slots go to the hosts in equal parts. Holders must be sorted by host and hold
-// every host of the division. A small change of the division moves the ends of
-// the ranges by little.
+// Lay converts a division into one range of whole slots for each host, by the
+// largest remainder method. Spare slots are divided equally between the hosts.
+// Holders must be sorted by host and contain every host of the division. A small
+// change of the division moves the ends of the ranges only a little.
 func Lay(d Division, holders []Holder) []Range {
 	exact := make([]float64, len(holders))
 	for i := range holders {
@@ -153,7 +156,7 @@
 	}
 	ranges := make([]Range, len(holders))
 	from := 0
-	for i, n := range round(exact) {
+	for i, n := range roundToSlots(exact) {
 		to := from + n + holders[i].Reserve
 		ranges[i] = Range{Host: holders[i].Host, From: from, To: to}
 		from = to
@@ -161,30 +164,30 @@
 	return ranges
 }
 
-// round returns whole numbers close to the exact ones, with the same sum rounded
-// down.
-func round(exact []float64) []int {
+// roundToSlots rounds to whole numbers whose sum is the exact sum, rounded down. The
+// largest remainders are rounded up.
+func roundToSlots(exact []float64) []int {
 	whole := make([]int, len(exact))
 	order := make([]int, len(exact))
-	sum, given := 0.0, 0
+	sum, assigned := 0.0, 0
 	for i, e := range exact {
 		whole[i] = int(math.Floor(e + tolerance))
 		order[i] = i
 		sum += e
-		given += whole[i]
+		assigned += whole[i]
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(exact[b]-float64(whole[b]), exact[a]-float64(whole[a]))
 	})
 	for _, i := range order {
-		if given >= int(math.Floor(sum+tolerance)) {
+		if assigned >= int(math.Floor(sum+tolerance)) {
 			break
 		}
 		whole[i]++
-		given++
+		assigned++
 	}
 	return whole
 }
 
-// tolerance absorbs the rounding errors of the division.
+// tolerance is the accepted floating-point error in numbers of slots.
 const tolerance = 1e-6
